--- a/bench/node/rpcbench.cpp
+++ b/bench/node/rpcbench.cpp
@@ -44,7 +44,7 @@
     }
     PeerProbe probe() override { return {identity(), {}}; }
     asio::awaitable<Catalog> catalog(CatalogRequest /*request*/) override { co_return Catalog(); }
-    QuarantineNews quarantine(const QuarantineNews & /*news*/) override { return {}; }
+    QuarantineUpdate quarantine(const QuarantineUpdate & /*news*/) override { return {}; }
 };
 
 CallHead typicalHead()
--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -27,10 +27,10 @@
 constexpr std::size_t Zones = 6;
 constexpr std::size_t Regions = 3;
 constexpr std::array<Microseconds, LinkKindCount> OneWay{Microseconds(200), Microseconds(1400), Microseconds(8000)};
-constexpr unsigned MostQuestions = 3;
+constexpr unsigned MaxQueries = 3;
 constexpr unsigned MostSendings = 8;
 constexpr unsigned CallerReturns = 2;
-constexpr Milliseconds PaceWatchInterval{20};
+constexpr Milliseconds SlowdownWatchInterval{20};
 constexpr double LateWorth = 0.1;
 /// Of a plain rule's upstream: requests that wait in its own queue, for each slot.
 constexpr std::uint32_t QueueOfSlot = 2;
@@ -72,7 +72,7 @@
         : load_(load)
         , settings_(settings)
         , arrivals_(settings.seed)
-        , spells_(settings.seed + 1'000'003)
+        , slowPeriods_(settings.seed + 1'000'003)
         , choices_(settings.seed + 2'000'003)
     {
         for (std::size_t number = 0; number < load_.upstreams; ++number) {
@@ -115,7 +115,7 @@
         }
 
         WorkQueue queue;
-        double pace = 1.0;
+        double slowdown = 1.0;
         /// At work, by the id under which they were offered.
         std::map<CallId, Work> running;
         /// Offered and not begun.
@@ -168,15 +168,16 @@
     /// A VM is slow or not for a spell, and then draws anew.
     void changeSlowdown(std::size_t upstream, TimePoint time)
     {
-        upstreams_[upstream]->pace = std::bernoulli_distribution(load_.slowShare)(spells_) ? load_.slowFactor : 1.0;
+        upstreams_[upstream]->slowdown =
+            std::bernoulli_distribution(load_.slowShare)(slowPeriods_) ? load_.slowFactor : 1.0;
         // Its node asks for the pace while a request waits for it.
-        at(time + PaceWatchInterval, [this, upstream] {
+        at(time + SlowdownWatchInterval, [this, upstream] {
             if (upstreams_[upstream]->queue.needsSlowdownUpdates(now())) {
-                tellPace(upstream);
+                tellSlowdown(upstream);
             }
         });
         std::exponential_distribution<double> length(1.0);
-        const TimePoint end = time + scaled(load_.spell, length(spells_));
+        const TimePoint end = time + scaled(load_.slowPeriod, length(slowPeriods_));
         if (end - Start < load_.length) {
             at(end, [this, upstream, end] { changeSlowdown(upstream, end); });
         }
@@ -275,8 +276,8 @@
     void refused(const RequestPointer &request, std::size_t upstream, Duration retryAfter)
     {
         request->excluded.push_back(nameOf(upstream));
-        const bool asksOn = settings_.rule == ReplayRule::Egretpath ? request->sendings <= MostQuestions
-                                                                    : request->sendings < MostQuestions;
+        const bool asksOn =
+            settings_.rule == ReplayRule::Egretpath ? request->sendings <= MaxQueries : request->sendings < MaxQueries;
         if (asksOn && request->sendings < MostSendings) {
             send(request);
             return;
@@ -314,7 +315,7 @@
     void offer(const RequestPointer &request, std::size_t number, Duration declineThreshold)
     {
         Upstream &upstream = *upstreams_[number];
-        tellPace(number);
+        tellSlowdown(number);
         WorkOffer work;
         work.call = CallId(++calls_);
         work.route = Route;
@@ -334,12 +335,12 @@
         expire(number);
     }
 
-    void tellPace(std::size_t number)
+    void tellSlowdown(std::size_t number)
     {
         constexpr double Percent = 100.0;
         Upstream &upstream = *upstreams_[number];
         for (const CallId next :
-             upstream.queue.setSlowdown(static_cast<std::uint16_t>(upstream.pace * Percent), now())) {
+             upstream.queue.setSlowdown(static_cast<std::uint16_t>(upstream.slowdown * Percent), now())) {
             begin(number, next);
         }
     }
@@ -359,7 +360,7 @@
     Duration duration(const Upstream &upstream, const Request &request) const
     {
         const double fill = static_cast<double>(upstream.running.size()) / load_.slots;
-        return scaled(request.work, upstream.pace * (fill > load_.knee ? load_.kneeFactor : 1.0));
+        return scaled(request.work, upstream.slowdown * (fill > load_.knee ? load_.kneeFactor : 1.0));
     }
 
     void finish(std::size_t number, CallId call, bool cut)
@@ -370,7 +371,7 @@
         for (const CallId next : upstream.queue.finish(call, !cut, now())) {
             begin(number, next);
         }
-        tellPace(number);
+        tellSlowdown(number);
         reply(request, number, [this, request, cut] { cut ? end(request, result_.failed) : answered(request); });
         expire(number);
     }
@@ -434,7 +435,7 @@
     ReplaySettings settings_;
     /// Apart, so that each rule meets the same arrivals and spells.
     Random arrivals_;
-    Random spells_;
+    Random slowPeriods_;
     Random choices_;
     VirtualTime time_;
     std::uint64_t calls_ = 0;
--- a/bench/replay/replay.h
+++ b/bench/replay/replay.h
@@ -38,7 +38,7 @@
     /// A VM is slow for this share of the time, by this factor, in spells of this length at the mean.
     double slowShare = 0.35;
     double slowFactor = 4.0;
-    Milliseconds spell{300};
+    Milliseconds slowPeriod{300};
     /// From this fill on an upstream takes longer by this factor.
     double knee = 0.8;
     double kneeFactor = 1.7;
--- a/src/admission/servicetimes.cpp
+++ b/src/admission/servicetimes.cpp
@@ -24,9 +24,9 @@
 constexpr double LargestSample = 3.0;
 
 /// Natural logarithm; nearer together, the two ways to look at the pace tell about the same time.
-constexpr double LeastPaceDifference = 0.3;
+constexpr double MinSlowdownDifference = 0.3;
 /// Of the newest request in the evidence.
-constexpr double PaceEvidenceGain = 0.1;
+constexpr double SlowdownEvidenceGain = 0.1;
 
 double microseconds(Duration duration)
 {
@@ -47,12 +47,12 @@
 
 void ServiceTimes::record(const RouteName &route, const WorkDuration &work, TimePoint now)
 {
-    const double sample = std::max(atUsualPace(work), 1.0);
+    const double sample = std::max(atBaselineSlowdown(work), 1.0);
     const bool known = microseconds_.contains(route);
-    const double before = microseconds(usual(route));
+    const double before = microseconds(baseline(route));
     if (known) {
         recordSlowness(sample / before, now);
-        recordPaceEvidence(work, before);
+        recordSlowdownEvidence(work, before);
     }
     // An upstream that turned slow must not look usual to itself after a few requests.
     const double bounded = known ? std::min(sample, LargestSample * before) : sample;
@@ -62,26 +62,26 @@
 
 void ServiceTimes::recordUnfinished(const RouteName &route, const WorkDuration &work, TimePoint now)
 {
-    const double ratio = atUsualPace(work) / microseconds(usual(route));
+    const double ratio = atBaselineSlowdown(work) / microseconds(baseline(route));
     if (ratio > 1.0 && microseconds_.contains(route)) {
         recordSlowness(ratio, now);
     }
 }
 
-double ServiceTimes::atUsualPace(const WorkDuration &work) const
+double ServiceTimes::atBaselineSlowdown(const WorkDuration &work) const
 {
-    return workKeepsItsPace() ? microseconds(work.elapsed) / work.startPace : microseconds(work.followingPace);
+    return workKeepsItsPace() ? microseconds(work.elapsed) / work.startSlowdown : microseconds(work.followingSlowdown);
 }
 
-void ServiceTimes::recordPaceEvidence(const WorkDuration &work, double usual)
+void ServiceTimes::recordSlowdownEvidence(const WorkDuration &work, double baseline)
 {
-    const double keeping = std::max(microseconds(work.elapsed) / work.startPace, 1.0);
-    const double following = std::max(microseconds(work.followingPace), 1.0);
-    if (std::abs(std::log(keeping / following)) < LeastPaceDifference) {
+    const double keeping = std::max(microseconds(work.elapsed) / work.startSlowdown, 1.0);
+    const double following = std::max(microseconds(work.followingSlowdown), 1.0);
+    if (std::abs(std::log(keeping / following)) < MinSlowdownDifference) {
         return;
     }
-    const double advantage = std::abs(std::log(following / usual)) - std::abs(std::log(keeping / usual));
-    paceEvidence_ += PaceEvidenceGain * (advantage - paceEvidence_);
+    const double advantage = std::abs(std::log(following / baseline)) - std::abs(std::log(keeping / baseline));
+    slowdownEvidence_ += SlowdownEvidenceGain * (advantage - slowdownEvidence_);
 }
 
 double ServiceTimes::slowness(TimePoint now) const
@@ -97,7 +97,7 @@
     slownessTime_ = now;
 }
 
-Duration ServiceTimes::usual(const RouteName &route) const
+Duration ServiceTimes::baseline(const RouteName &route) const
 {
     const auto found = microseconds_.find(route);
     if (found != microseconds_.end()) {
--- a/src/admission/servicetimes.h
+++ b/src/admission/servicetimes.h
@@ -13,9 +13,9 @@
 {
     Duration elapsed{0};
     /// How many times longer than usual work took when it began; above 0.
-    double startPace = 1.0;
+    double startSlowdown = 1.0;
     /// What the work would have taken at the usual pace, if it changed its pace with the VM.
-    Duration followingPace{0};
+    Duration followingSlowdown{0};
 };
 
 /// How long one upstream works on the requests of each route when its VM runs at its usual pace.
@@ -32,18 +32,18 @@
     void recordUnfinished(const RouteName &route, const WorkDuration &work, TimePoint now);
     /// Whether work seems to keep to its end the pace of the moment at which it began; true until something speaks
     /// against it.
-    [[nodiscard]] bool workKeepsItsPace() const { return paceEvidence_ >= 0.0; }
+    [[nodiscard]] bool workKeepsItsPace() const { return slowdownEvidence_ >= 0.0; }
     /// How many times longer than usual the upstream takes lately, its VM's pace aside; 1 or more.
     [[nodiscard]] double slowness(TimePoint now) const;
     /// The mean of @p route; of all routes for one that was not seen; a default before any was.
-    [[nodiscard]] Duration usual(const RouteName &route) const;
+    [[nodiscard]] Duration baseline(const RouteName &route) const;
     /// The mean over all routes; the same default.
     [[nodiscard]] Duration overall() const;
 
 private:
     void recordSlowness(double ratio, TimePoint now);
-    [[nodiscard]] double atUsualPace(const WorkDuration &work) const;
-    void recordPaceEvidence(const WorkDuration &work, double usual);
+    [[nodiscard]] double atBaselineSlowdown(const WorkDuration &work) const;
+    void recordSlowdownEvidence(const WorkDuration &work, double baseline);
 
     std::unordered_map<RouteName, double> microseconds_;
     double overallMicroseconds_ = 0.0;
@@ -52,7 +52,7 @@
     TimePoint slownessTime_;
     /// By how much better the pace at its start foretells the length of work than the pace on the way; negative if the
     /// latter is better.
-    double paceEvidence_ = 0.0;
+    double slowdownEvidence_ = 0.0;
 };
 
 }
--- a/src/admission/upstreamaccount.cpp
+++ b/src/admission/upstreamaccount.cpp
@@ -20,7 +20,7 @@
 void UpstreamAccount::begun(CallId call)
 {
     open_.push_back({call, std::nullopt});
-    ++question_.mayCount;
+    ++query_.mayCount;
 }
 
 void UpstreamAccount::written(CallId call, TimePoint now)
@@ -44,7 +44,7 @@
 void UpstreamAccount::end(CallId call, bool answered)
 {
     std::erase_if(open_, [call](const Open &item) { return item.call == call; });
-    question_.known.erase(call);
+    query_.known.erase(call);
     for (Claim &claim : claims_) {
         const bool concerned = claim.among.erase(call) > 0;
         // One that was given up may be among the lost ones; an answer may have been made before the count.
@@ -57,12 +57,12 @@
 
 void UpstreamAccount::asked(TimePoint now)
 {
-    question_ = {};
-    question_.at = now;
-    question_.mayCount = static_cast<std::uint32_t>(open_.size());
+    query_ = {};
+    query_.at = now;
+    query_.mayCount = static_cast<std::uint32_t>(open_.size());
     for (const Open &item : open_) {
         if (item.written && now - *item.written >= ReadTime) {
-            question_.known.insert(item.call);
+            query_.known.insert(item.call);
         }
     }
 }
@@ -70,9 +70,9 @@
 void UpstreamAccount::reported(std::uint32_t held, TimePoint now)
 {
     counts_ = counts_ || held > 0;
-    others_ = held > question_.mayCount ? held - question_.mayCount : 0;
+    others_ = held > query_.mayCount ? held - query_.mayCount : 0;
     settleClaims();
-    if (counts_ && question_.known.size() > held) {
+    if (counts_ && query_.known.size() > held) {
         makeClaim(held, now);
     }
 }
@@ -82,7 +82,7 @@
 void UpstreamAccount::settleClaims()
 {
     for (Claim &claim : claims_) {
-        claim.settled = claim.settled || question_.at - claim.made >= SettleTime;
+        claim.settled = claim.settled || query_.at - claim.made >= SettleTime;
     }
 }
 
@@ -91,9 +91,9 @@
     if (claims_.size() == ClaimsCap) {
         claims_.erase(claims_.begin());
     }
-    const auto known = static_cast<std::uint32_t>(question_.known.size());
-    claims_.push_back({std::move(question_.known), known - held, now, false});
-    question_.known.clear();
+    const auto known = static_cast<std::uint32_t>(query_.known.size());
+    claims_.push_back({std::move(query_.known), known - held, now, false});
+    query_.known.clear();
 }
 
 std::vector<CallId> UpstreamAccount::lost() const
--- a/src/admission/upstreamaccount.h
+++ b/src/admission/upstreamaccount.h
@@ -53,7 +53,7 @@
         bool settled = false;
     };
 
-    struct Question
+    struct Query
     {
         TimePoint at;
         /// Calls that the upstream had certainly read by then.
@@ -74,7 +74,7 @@
 
     std::vector<Open> open_;
     std::vector<Claim> claims_;
-    Question question_;
+    Query query_;
     std::uint32_t others_ = 0;
     bool counts_ = false;
 };
--- a/src/admission/vmslowdown.cpp
+++ b/src/admission/vmslowdown.cpp
@@ -11,7 +11,7 @@
 {
 
 /// A VM that has not been quicker for so long is taken as it is.
-constexpr Milliseconds SpellMemory{1000};
+constexpr Milliseconds SlowPeriodMemory{1000};
 /// For baselineTimeBetween(): longer than nearly all work.
 constexpr Milliseconds SampleMemory{5000};
 /// A pace so many times the best one is a slow spell; less is the variation of a VM under load.
@@ -20,9 +20,9 @@
 /// started on a VM at its usual pace is about twice as slow as later.
 constexpr double UnseenBest = 2.0;
 /// Before a spell was seen to end; of the order of a scheduler's time slices under contention.
-constexpr double DefaultSpellSeconds = 0.2;
+constexpr double DefaultSlowPeriodSeconds = 0.2;
 /// Of the newest spell in the mean: about the last ten.
-constexpr double SpellGain = 0.1;
+constexpr double SlowPeriodGain = 0.1;
 /// The end of a spell was seen if the VM was looked at so shortly before.
 constexpr Milliseconds LongestGap{100};
 
@@ -35,50 +35,50 @@
         samples_.push_back({factor, now});
     }
     forgetBefore(now - SampleMemory);
-    const bool slow = factor > SlowRatio * bestSince(now - SpellMemory);
-    if (slow && !inSpell_) {
-        spellStart_ = now;
+    const bool slow = factor > SlowRatio * bestSince(now - SlowPeriodMemory);
+    if (slow && !inSlowPeriod_) {
+        slowPeriodStart_ = now;
     }
-    if (!slow && inSpell_ && now - lastRecord_ < LongestGap) {
-        const double length = inSeconds(now - spellStart_);
-        const double mean = meanSpellSeconds_ > 0.0 ? meanSpellSeconds_ : DefaultSpellSeconds;
-        meanSpellSeconds_ = mean + SpellGain * (length - mean);
+    if (!slow && inSlowPeriod_ && now - lastRecord_ < LongestGap) {
+        const double length = inSeconds(now - slowPeriodStart_);
+        const double mean = meanSlowPeriodSeconds_ > 0.0 ? meanSlowPeriodSeconds_ : DefaultSlowPeriodSeconds;
+        meanSlowPeriodSeconds_ = mean + SlowPeriodGain * (length - mean);
     }
-    inSpell_ = slow;
+    inSlowPeriod_ = slow;
     lastRecord_ = now;
 }
 
-double VmSlowdown::afterSpell(TimePoint now) const
+double VmSlowdown::afterSlowPeriod(TimePoint now) const
 {
-    const double best = bestSince(now - SpellMemory);
+    const double best = bestSince(now - SlowPeriodMemory);
     return factor_ > SlowRatio * best ? best : factor_;
 }
 
 Duration VmSlowdown::slowPeriodLeft(TimePoint now) const
 {
-    if (!inSpell_ || now >= spellLimit()) {
+    if (!inSlowPeriod_ || now >= slowPeriodLimit()) {
         return Duration{0};
     }
     // Spells end at any moment with about the same chance, whatever their age.
-    return fromSeconds(meanSpellSeconds_ > 0.0 ? meanSpellSeconds_ : DefaultSpellSeconds);
+    return fromSeconds(meanSlowPeriodSeconds_ > 0.0 ? meanSlowPeriodSeconds_ : DefaultSlowPeriodSeconds);
 }
 
-TimePoint VmSlowdown::spellLimit() const
+TimePoint VmSlowdown::slowPeriodLimit() const
 {
-    return spellStart_ + SpellMemory;
+    return slowPeriodStart_ + SlowPeriodMemory;
 }
 
 Duration VmSlowdown::baselineTimeBetween(TimePoint start, TimePoint now) const
 {
-    double usual = 0.0;
+    double baseline = 0.0;
     TimePoint end = now;
     for (auto sample = samples_.rbegin(); sample != samples_.rend() && end > start; ++sample) {
         const bool oldest = std::next(sample) == samples_.rend();
         const TimePoint begin = oldest ? start : std::max(sample->since, start);
-        usual += inSeconds(end - begin) / sample->factor;
+        baseline += inSeconds(end - begin) / sample->factor;
         end = begin;
     }
-    return samples_.empty() ? now - start : fromSeconds(usual);
+    return samples_.empty() ? now - start : fromSeconds(baseline);
 }
 
 /// The lowest pace that held at @p time or later.
--- a/src/admission/vmslowdown.h
+++ b/src/admission/vmslowdown.h
@@ -19,17 +19,17 @@
 class VmSlowdown
 {
 public:
-    /// The pace at @p now. Preconditions: @p factor > 0; @p now does not go back.
+    /// Records the slowdown @p factor at @p now. Preconditions: @p factor > 0; @p now does not go back.
     void record(double factor, TimePoint now);
 
     /// The latest pace.
     [[nodiscard]] double factor() const { return factor_; }
-    /// The pace that is expected after the present slow spell; factor() while there is none.
-    [[nodiscard]] double afterSpell(TimePoint now) const;
+    /// The slowdown that is expected after the present slow period; factor() while there is none.
+    [[nodiscard]] double afterSlowPeriod(TimePoint now) const;
     /// From @p now to the expected end of the present slow spell; zero while there is none.
     [[nodiscard]] Duration slowPeriodLeft(TimePoint now) const;
     /// The time at which the VM is no longer taken to be in a spell if its pace stays what it is.
-    [[nodiscard]] TimePoint spellLimit() const;
+    [[nodiscard]] TimePoint slowPeriodLimit() const;
     /// The time that work done from @p start to @p now would have taken at the usual pace if it changes its pace with
     /// the VM. Spans that reach back further than the memory count at the oldest pace that is remembered.
     [[nodiscard]] Duration baselineTimeBetween(TimePoint start, TimePoint now) const;
@@ -47,10 +47,10 @@
     /// Changes of the pace, oldest first; the first one may have begun before the memory.
     std::deque<Sample> samples_;
     double factor_ = 1.0;
-    bool inSpell_ = false;
-    TimePoint spellStart_;
+    bool inSlowPeriod_ = false;
+    TimePoint slowPeriodStart_;
     TimePoint lastRecord_;
-    double meanSpellSeconds_ = 0.0;
+    double meanSlowPeriodSeconds_ = 0.0;
 };
 
 }
--- a/src/admission/workqueue.cpp
+++ b/src/admission/workqueue.cpp
@@ -19,13 +19,13 @@
 constexpr Milliseconds LeastLateWait{60};
 /// Running calls beyond this many times their usual time show that the upstream is slow or stands still.
 constexpr double OverdueFactor = 2.5;
-constexpr double LargestPace = 5000.0;
+constexpr double MaxSlowdown = 5000.0;
 /// A running call that already took its usual time is taken to need this share of it again.
 constexpr double OverdueShare = 0.3;
 
-std::uint16_t paceInPercent(double factor)
+std::uint16_t slowdownInPercent(double factor)
 {
-    return static_cast<std::uint16_t>(std::min(BaselineSlowdown * factor, LargestPace));
+    return static_cast<std::uint16_t>(std::min(BaselineSlowdown * factor, MaxSlowdown));
 }
 
 std::uint32_t asMicroseconds(Duration duration)
@@ -49,7 +49,7 @@
 
 std::vector<CallId> WorkQueue::setSlowdown(std::uint16_t percent, TimePoint now)
 {
-    pace_.record(percent == 0 ? 1.0 : percent / BaselineSlowdown, now);
+    slowdown_.record(percent == 0 ? 1.0 : percent / BaselineSlowdown, now);
     return startQueued(now);
 }
 
@@ -151,7 +151,7 @@
         next = next ? std::min(*next, time) : time;
     }
     if (needsSlowdownUpdates(now)) {
-        next = std::min(*next, pace_.spellLimit());
+        next = std::min(*next, slowdown_.slowPeriodLimit());
     }
     return next;
 }
@@ -168,13 +168,13 @@
     report.inFlight = static_cast<std::uint32_t>(atWork());
     report.queued = static_cast<std::uint32_t>(queue_.size());
     report.slots = limit();
-    report.serviceTimeMicroseconds = asMicroseconds(times_.usual(route));
+    report.serviceTimeMicroseconds = asMicroseconds(times_.baseline(route));
     const double slower = slowness(now);
-    report.slowdownPercent = paceInPercent(pace_.factor() * slower);
+    report.slowdownPercent = slowdownInPercent(slowdown_.factor() * slower);
     report.recoveredSlowdownPercent = report.slowdownPercent;
-    if (waitsForSpells() && pace_.slowPeriodLeft(now) > Duration{0}) {
-        report.recoveredSlowdownPercent = paceInPercent(pace_.afterSpell(now) * slower);
-        report.slowPeriodLeftMicroseconds = asMicroseconds(pace_.slowPeriodLeft(now));
+    if (waitsForSlowPeriods() && slowdown_.slowPeriodLeft(now) > Duration{0}) {
+        report.recoveredSlowdownPercent = slowdownInPercent(slowdown_.afterSlowPeriod(now) * slower);
+        report.slowPeriodLeftMicroseconds = asMicroseconds(slowdown_.slowPeriodLeft(now));
     }
     report.meanServiceMicroseconds = asMicroseconds(times_.overall());
     report.failurePercent = static_cast<std::uint8_t>(std::clamp(failureShare_, 0.0, 1.0) * BaselineSlowdown);
@@ -224,38 +224,38 @@
     return left;
 }
 
-bool WorkQueue::waitsForSpells() const
+bool WorkQueue::waitsForSlowPeriods() const
 {
     return settings_.waitsForSlowPeriodEnd && times_.workKeepsItsPace();
 }
 
 bool WorkQueue::waitsForSlowPeriodEnd(const RouteName &route, TimePoint now) const
 {
-    const Duration spell = pace_.slowPeriodLeft(now);
-    if (spell == Duration{0} || !waitsForSpells()) {
+    const Duration slowPeriod = slowdown_.slowPeriodLeft(now);
+    if (slowPeriod == Duration{0} || !waitsForSlowPeriods()) {
         return false;
     }
-    const Duration usual = times_.usual(route);
-    return spell + scaled(usual, pace_.afterSpell(now)) < scaled(usual, pace_.factor());
+    const Duration baseline = times_.baseline(route);
+    return slowPeriod + scaled(baseline, slowdown_.afterSlowPeriod(now)) < scaled(baseline, slowdown_.factor());
 }
 
 Duration WorkQueue::serviceTime(const RouteName &route, TimePoint now) const
 {
-    const double pace = waitsForSlowPeriodEnd(route, now) ? pace_.afterSpell(now) : pace_.factor();
-    return scaled(times_.usual(route), pace);
+    const double slowdown = waitsForSlowPeriodEnd(route, now) ? slowdown_.afterSlowPeriod(now) : slowdown_.factor();
+    return scaled(times_.baseline(route), slowdown);
 }
 
 WorkDuration WorkQueue::workDuration(const Running &running, TimePoint now) const
 {
-    return {now - running.start, running.pace, pace_.baselineTimeBetween(running.start, now)};
+    return {now - running.start, running.slowdown, slowdown_.baselineTimeBetween(running.start, now)};
 }
 
 double WorkQueue::slowness(TimePoint now) const
 {
     double underWay = 0.0;
     for (const auto &[call, running] : running_) {
-        const Duration usual = scaled(times_.usual(running.route), running.pace * OverdueFactor);
-        underWay += std::max(1.0, std::chrono::duration<double>(now - running.start) / usual);
+        const Duration baseline = scaled(times_.baseline(running.route), running.slowdown * OverdueFactor);
+        underWay += std::max(1.0, std::chrono::duration<double>(now - running.start) / baseline);
     }
     const double mean = running_.empty() ? 1.0 : underWay / static_cast<double>(running_.size());
     return std::max(times_.slowness(now), mean);
@@ -267,11 +267,11 @@
     if (startsAtOnce(offer, now)) {
         return Duration{0};
     }
-    const Duration spell = waitsForSlowPeriodEnd(offer.route, now) ? pace_.slowPeriodLeft(now) : Duration{0};
+    const Duration slowPeriod = waitsForSlowPeriodEnd(offer.route, now) ? slowdown_.slowPeriodLeft(now) : Duration{0};
     const Duration companion = companionLeft(offer, now);
     std::vector<Duration> freeAfter = slotsFreeAfter(now);
     for (Duration &after : freeAfter) {
-        after = std::max({after, spell, companion});
+        after = std::max({after, slowPeriod, companion});
     }
     for (const Waiting &waiting : queue_) {
         if (goesBefore(offer, waiting.offer, now)) {
@@ -285,8 +285,8 @@
 
 Duration WorkQueue::timeLeft(const Running &running, TimePoint now) const
 {
-    const Duration usual = scaled(times_.usual(running.route), running.pace);
-    return std::max(usual - (now - running.start), scaled(usual, OverdueShare));
+    const Duration baseline = scaled(times_.baseline(running.route), running.slowdown);
+    return std::max(baseline - (now - running.start), scaled(baseline, OverdueShare));
 }
 
 std::vector<Duration> WorkQueue::slotsFreeAfter(TimePoint now) const
@@ -296,7 +296,7 @@
         freeAfter.push_back(timeLeft(running, now));
     }
     // Half of it is done, as far as one knows.
-    const Duration restOfOther = scaled(times_.overall(), pace_.factor() / 2);
+    const Duration restOfOther = scaled(times_.overall(), slowdown_.factor() / 2);
     freeAfter.insert(freeAfter.end(), others_, restOfOther);
     freeAfter.resize(std::max<std::size_t>(freeAfter.size(), limit()), Duration{0});
     std::sort(freeAfter.begin(), freeAfter.end());
@@ -385,7 +385,7 @@
 
 void WorkQueue::start(const WorkOffer &offer, TimePoint now)
 {
-    running_.emplace(offer.call, Running{offer.route, now, pace_.factor(), offer.disconnectedUpstream});
+    running_.emplace(offer.call, Running{offer.route, now, slowdown_.factor(), offer.disconnectedUpstream});
 }
 
 }
--- a/src/admission/workqueue.h
+++ b/src/admission/workqueue.h
@@ -127,7 +127,7 @@
         RouteName route;
         TimePoint start;
         /// The VM's at the start.
-        double pace = 1.0;
+        double slowdown = 1.0;
         UpstreamName disconnectedUpstream;
     };
 
@@ -157,7 +157,7 @@
     /// How long the upstream takes for a request of @p route that begins now, or after the spell if that is quicker.
     [[nodiscard]] Duration serviceTime(const RouteName &route, TimePoint now) const;
     /// Whether requests wait for the end of slow spells at all: not where work changes its pace with the VM.
-    [[nodiscard]] bool waitsForSpells() const;
+    [[nodiscard]] bool waitsForSlowPeriods() const;
     /// Whether a request of @p route is done sooner if it begins after the VM's slow spell than if it begins now.
     [[nodiscard]] bool waitsForSlowPeriodEnd(const RouteName &route, TimePoint now) const;
     [[nodiscard]] WorkDuration workDuration(const Running &running, TimePoint now) const;
@@ -185,7 +185,7 @@
     std::vector<Waiting> queue_;
     std::uint32_t slots_ = 1;
     std::uint32_t others_ = 0;
-    VmSlowdown pace_;
+    VmSlowdown slowdown_;
     double failureShare_ = 0.0;
 };
 
--- a/src/core/identity.h
+++ b/src/core/identity.h
@@ -37,12 +37,12 @@
     /// Smoothed time from handing a call to the upstream to its whole answer, in microseconds.
     std::uint32_t serviceTimeMicroseconds = 0;
     /// The upstream takes no new work.
-    bool leaving = false;
+    bool draining = false;
     /// How long work takes on the VM at this moment, in percent of the usual; zero if unknown.
     std::uint16_t slowdownPercent = 0;
     /// Until the VM's slow spell is expected to end, if requests wait for that here; else zero.
     std::uint32_t slowPeriodLeftMicroseconds = 0;
-    /// The pace that is expected then, in percent; slowdownPercent while there is no spell to wait for.
+    /// The slowdown that is expected then, in percent; slowdownPercent while there is no slow period.
     std::uint16_t recoveredSlowdownPercent = 0;
     /// Smoothed time for a call of any kind at the VM's usual pace, in microseconds; zero if unknown.
     std::uint32_t meanServiceMicroseconds = 0;
--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -47,8 +47,9 @@
     , pool_(executor_, poolLimits(settings_))
     , quarantine_(quarantine)
     , answers_(random())
-    , endWatch_(executor_, pool_, settings_.upstream, random,
-                [this](UpstreamCrashId crash, const std::vector<HeldRequest> &held) { noteUpstreamEnd(crash, held); })
+    , exitMonitor_(
+          executor_, pool_, settings_.upstream, random,
+          [this](UpstreamCrashId crash, const std::vector<HeldRequest> &held) { noteUpstreamEnd(crash, held); })
     , probed_(executor_, asio::steady_timer::time_point::max())
 {
     slots_.onAwaitsNews([this] {
@@ -85,15 +86,15 @@
 LoadReport EgressRole::report(const RouteName &route) const
 {
     LoadReport report = slots_.queue().report(route, currentTime());
-    report.leaving = leaving_;
+    report.draining = draining_;
     report.arrivalDelayMicroseconds = static_cast<std::uint32_t>(arrivalDelayMicroseconds_);
     return report;
 }
 
-asio::awaitable<void> EgressRole::freshenPace()
+asio::awaitable<void> EgressRole::refreshSlowdown()
 {
     const TimePoint now = currentTime();
-    if (now - paceTime_ < settings_.paceMaxAge) {
+    if (now - slowdownTime_ < settings_.slowdownMaxAge) {
         co_return;
     }
     startProbe();
@@ -119,7 +120,7 @@
     asio::steady_timer timer(executor_);
     while (slots_.awaitsNews(currentTime())) {
         startProbe();
-        timer.expires_after(settings_.paceWatchInterval);
+        timer.expires_after(settings_.slowdownWatchInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
     watchingUpstream_ = false;
@@ -172,10 +173,10 @@
             const auto answer = co_await call.readHead();
             const auto body = co_await call.readCompleteBody(ProbeAnswerLimit);
             if (answer && body) {
-                const UpstreamAnswerMetadata remarks = dialect_.read(answer.value());
-                take(remarks);
-                if (remarks.load && settings_.keepsAccount) {
-                    takeAccount(*remarks.load);
+                const UpstreamAnswerMetadata metadata = dialect_.read(answer.value());
+                take(metadata);
+                if (metadata.load && settings_.keepsAccount) {
+                    takeAccount(*metadata.load);
                 }
             }
         }
@@ -184,20 +185,20 @@
     probed_.cancel();
 }
 
-void EgressRole::take(const UpstreamAnswerMetadata &remarks)
+void EgressRole::take(const UpstreamAnswerMetadata &metadata)
 {
-    if (!remarks.upstream.value().empty()) {
-        presence_.answered(remarks.upstream);
+    if (!metadata.upstream.value().empty()) {
+        presence_.answered(metadata.upstream);
     }
-    if (!remarks.load) {
+    if (!metadata.load) {
         return;
     }
-    if (remarks.load->slots > 0) {
-        slots_.setSlots(remarks.load->slots);
+    if (metadata.load->slots > 0) {
+        slots_.setSlots(metadata.load->slots);
     }
-    if (remarks.load->slowdownPercent > 0) {
-        slots_.setSlowdown(remarks.load->slowdownPercent);
-        paceTime_ = currentTime();
+    if (metadata.load->slowdownPercent > 0) {
+        slots_.setSlowdown(metadata.load->slowdownPercent);
+        slowdownTime_ = currentTime();
     }
 }
 
@@ -220,8 +221,8 @@
         line.add("held", std::uint64_t{held.size()}).add("answered_lately", std::uint64_t{item.answeredRecently});
         log_.decision(line);
     }
-    if (upstreamEndListener_) {
-        upstreamEndListener_(crash, held);
+    if (upstreamExitListener_) {
+        upstreamExitListener_(crash, held);
     }
 }
 
--- a/src/egress/egressrole.h
+++ b/src/egress/egressrole.h
@@ -35,11 +35,11 @@
     std::string healthPath = "/health";
     /// What is known of the VM's pace is asked for again, before a request is taken, when it is older than this: a part
     /// of the length of a slow spell.
-    Milliseconds paceMaxAge{60};
+    Milliseconds slowdownMaxAge{60};
     /// How long that question may take; work is taken on old knowledge after it.
     Milliseconds probeLimit{12};
     /// Between two such questions while a request waits for the VM's slow spell to end. They stay on the VM.
-    Milliseconds paceWatchInterval{20};
+    Milliseconds slowdownWatchInterval{20};
     /// Between two questions while the upstream takes longer for a request than it should; see UpstreamAccount.
     Milliseconds accountInterval{150};
     /// Requests that the upstream has lost end, and work there for others takes slots.
@@ -75,9 +75,9 @@
     void setHealthPath(std::string path) { settings_.healthPath = std::move(path); }
     void setConnectionCap(std::uint32_t cap);
     /// Refuses new requests from now on, or no longer.
-    void setLeaving(bool leaving) { leaving_ = leaving; }
+    void setDraining(bool draining) { draining_ = draining; }
     /// Calls @p listener when the upstream has ended with requests under way; see UpstreamExitMonitor::Listener.
-    void onUpstreamExit(UpstreamExitMonitor::Listener listener) { upstreamEndListener_ = std::move(listener); }
+    void onUpstreamExit(UpstreamExitMonitor::Listener listener) { upstreamExitListener_ = std::move(listener); }
     /// Ends the requests, waiting or running, that are refused by now.
     void quarantineChanged();
     [[nodiscard]] LoadReport report(const RouteName &route) const;
@@ -94,7 +94,7 @@
 
     [[nodiscard]] CallId nextCallId() { return CallId(++lastCallId_); }
     /// Asks the upstream for its pace when what is known is old; returns after a short time in any case.
-    boost::asio::awaitable<void> freshenPace();
+    boost::asio::awaitable<void> refreshSlowdown();
     boost::asio::awaitable<void> probe();
     void startProbe();
     /// Asks again and again while a request waits for what only news of the upstream can end.
@@ -103,7 +103,7 @@
     boost::asio::awaitable<void> watchOverdue();
     void noteOverdue();
     void takeAccount(const UpstreamLoadSample &load);
-    void take(const UpstreamAnswerMetadata &remarks);
+    void take(const UpstreamAnswerMetadata &metadata);
     void recordArrival(Duration delay);
     /// The upstream has ended, with these requests under way.
     void noteUpstreamEnd(UpstreamCrashId crash, const std::vector<HeldRequest> &held);
@@ -122,15 +122,15 @@
     HttpConnectionPool pool_;
     const Quarantine &quarantine_;
     RecentAnswers answers_;
-    UpstreamExitMonitor endWatch_;
-    UpstreamExitMonitor::Listener upstreamEndListener_;
+    UpstreamExitMonitor exitMonitor_;
+    UpstreamExitMonitor::Listener upstreamExitListener_;
     LatenessGuard lateness_;
     UpstreamHealth health_;
     std::uint64_t lastCallId_ = 0;
-    TimePoint paceTime_;
+    TimePoint slowdownTime_;
     UpstreamPresence presence_;
     double arrivalDelayMicroseconds_ = 0.0;
-    bool leaving_ = false;
+    bool draining_ = false;
     bool probing_ = false;
     bool watchingUpstream_ = false;
     bool watchingOverdue_ = false;
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -21,7 +21,7 @@
 {
 
 /// Answers up to this size travel in one message; beyond it, in pieces.
-constexpr std::size_t WholeAnswerLimit = std::size_t{1024} * 1024;
+constexpr std::size_t CompleteAnswerLimit = std::size_t{1024} * 1024;
 constexpr Milliseconds DrainingRetryAfter{50};
 constexpr std::uint16_t FirstServerError = 500;
 constexpr std::uint16_t GatewayTimeoutStatus = 504;
@@ -92,9 +92,9 @@
 void UpstreamRequest::watchDuration()
 {
     const LoadReport report = role_.report(head_.route);
-    const double pace = std::max(report.slowdownPercent / BaselineSlowdown, 1.0);
-    const Duration usual = scaled(Microseconds(report.serviceTimeMicroseconds), pace);
-    overdueTimer_.expires_after(std::max<Duration>(scaled(usual, OverdueFactor), LeastOverdue));
+    const double slowdown = std::max(report.slowdownPercent / BaselineSlowdown, 1.0);
+    const Duration baseline = scaled(Microseconds(report.serviceTimeMicroseconds), slowdown);
+    overdueTimer_.expires_after(std::max<Duration>(scaled(baseline, OverdueFactor), LeastOverdue));
     overdueTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto request = weak.lock();
         if (!error && request && request->atUpstream_) {
@@ -143,10 +143,10 @@
         co_return notRun(Reason::DeadlinePassed, "the request was too long on its way");
     }
     target_ = arrival_ + head_.targetLatencyLeft - late;
-    if (role_.leaving_) {
+    if (role_.draining_) {
         co_return notRun(Reason::Draining, "the node beside the upstream stops", DrainingRetryAfter);
     }
-    co_await role_.freshenPace();
+    co_await role_.refreshSlowdown();
     if (auto rejection = role_.presence_.rejection(head_.targetUpstream)) {
         co_return rejection;
     }
@@ -155,7 +155,7 @@
     }
     role_.recordHealth();
     const WorkOffer offer = makeOffer();
-    if (head_.question) {
+    if (head_.dryRun) {
         co_return role_.slots_.queue()
             .rejection(offer, currentTime())
             .value_or(notRun(Reason::None, "it would be taken"));
@@ -238,7 +238,7 @@
     }
     if (!result && upstreamDisconnected(result.error())) {
         const bool answeredRecently = role_.answers_.contains(content(), currentTime());
-        role_.endWatch_.connectionBroke({head_.requestId, name_.of(content()), answeredRecently});
+        role_.exitMonitor_.connectionBroke({head_.requestId, name_.of(content()), answeredRecently});
     }
     co_return result;
 }
@@ -275,8 +275,8 @@
         if (!head) {
             co_return head.error();
         }
-        const UpstreamAnswerMetadata remarks = role_.dialect_.read(head.value());
-        const bool isOwn = remarks.request.value().empty() || remarks.request == head_.requestId;
+        const UpstreamAnswerMetadata metadata = role_.dialect_.read(head.value());
+        const bool isOwn = metadata.request.value().empty() || metadata.request == head_.requestId;
         if (isOwn) {
             leaveUpstream(true);
         }
@@ -290,13 +290,13 @@
                 break;
             }
             body += piece.value();
-            if (body.size() > WholeAnswerLimit) {
+            if (body.size() > CompleteAnswerLimit) {
                 co_return co_await stream(std::move(head).value(), std::move(body));
             }
         }
         // A faulty upstream may answer an earlier request twice; the second answer stands where this one's should be.
         if (isOwn) {
-            co_return judge(std::move(head).value(), std::move(body), remarks);
+            co_return judge(std::move(head).value(), std::move(body), metadata);
         }
         role_.metrics_.count("egretpath_stray_answers_total");
     }
@@ -334,17 +334,17 @@
 }
 
 Result<CallOutcome> UpstreamRequest::judge(HttpResponseHead head, std::string body,
-                                           const UpstreamAnswerMetadata &remarks)
+                                           const UpstreamAnswerMetadata &metadata)
 {
-    role_.take(remarks);
-    if (remarks.wrongUpstream) {
+    role_.take(metadata);
+    if (metadata.wrongUpstream) {
         return notRun(Reason::WrongIncarnation, "another upstream has the address");
     }
-    if (remarks.notRun) {
+    if (metadata.notRun) {
         role_.recordAnswer(true);
         return notRun(Reason::Shed, "the upstream refused it with status " + std::to_string(head.status));
     }
-    if (!remarks.isComplete) {
+    if (!metadata.isComplete) {
         role_.recordAnswer(true);
         return mayHaveRun(Reason::BadAnswer, "the answer lacks what proves that it is the upstream's");
     }
@@ -376,7 +376,7 @@
 
 CallOutcome UpstreamRequest::outcome(std::variant<Failure, CompleteAnswer, StreamedAnswer> result) const
 {
-    return {role_.self_, role_.report(head_.route), std::move(result), CatalogMark()};
+    return {role_.self_, role_.report(head_.route), std::move(result), CatalogVersions()};
 }
 
 RequestContent UpstreamRequest::content() const
@@ -388,7 +388,7 @@
 std::optional<Failure> UpstreamRequest::quarantineRejection()
 {
     // A question comes without the body that is a part of the request's name.
-    if (head_.question) {
+    if (head_.dryRun) {
         return std::nullopt;
     }
     return name_.rejection(role_.quarantine_, content(), currentTime());
--- a/src/egress/upstreamrequest.h
+++ b/src/egress/upstreamrequest.h
@@ -48,7 +48,7 @@
     boost::asio::awaitable<void> write(std::shared_ptr<UpstreamRequest> self);
     boost::asio::awaitable<void> stopWriting();
     [[nodiscard]] Result<CallOutcome> judge(HttpResponseHead head, std::string body,
-                                            const UpstreamAnswerMetadata &remarks);
+                                            const UpstreamAnswerMetadata &metadata);
     [[nodiscard]] bool mayAskAgain(const Failure &failure) const;
 
     [[nodiscard]] HttpRequestHead upstreamHead() const;
--- a/src/egress/workslots.h
+++ b/src/egress/workslots.h
@@ -37,7 +37,7 @@
     void setSlots(std::uint32_t slots);
     void setSlowdown(std::uint16_t percent);
     void setExternalRequests(std::uint32_t others);
-    /// Ends the wait of each request for whose upstream @p rejection has one, with that.
+    /// Refuses each waiting request for whose upstream @p rejection returns a failure, with that failure.
     void refuseWaiting(const std::function<std::optional<Failure>(const UpstreamName &)> &rejection);
     /// Ends the wait of @p call, if it waits, with @p failure.
     void refuse(CallId call, Failure failure) { removeQueued(call, std::move(failure)); }
--- a/src/http/httpserverconnection.cpp
+++ b/src/http/httpserverconnection.cpp
@@ -246,7 +246,7 @@
 
 asio::awaitable<void> HttpServerConnection::answerRefusal(std::uint16_t status, std::string detail)
 {
-    if (callerGone_) {
+    if (callerDisconnected_) {
         co_return;
     }
     HttpResponseHead head;
@@ -264,7 +264,7 @@
 asio::awaitable<void> HttpServerConnection::closeGently()
 {
     error_code ignored;
-    if (!socket_.is_open() || callerGone_) {
+    if (!socket_.is_open() || callerDisconnected_) {
         closeSocket(socket_);
         co_return;
     }
@@ -325,7 +325,7 @@
 
 void HttpServerConnection::recordCallerDisconnected()
 {
-    callerGone_ = true;
+    callerDisconnected_ = true;
     stopReading();
 }
 
--- a/src/http/httpserverconnection.h
+++ b/src/http/httpserverconnection.h
@@ -90,7 +90,7 @@
     bool reading_ = true;
     bool stopping_ = false;
     bool timedOut_ = false;
-    bool callerGone_ = false;
+    bool callerDisconnected_ = false;
     bool unreadRequest_ = false;
 };
 
--- a/src/http/httpserverexchange.cpp
+++ b/src/http/httpserverexchange.cpp
@@ -63,7 +63,7 @@
             noteBodyRead();
             co_return body;
         }
-        if (callerGone_) {
+        if (callerDisconnected_) {
             co_return notRun(Reason::Cancelled, "the caller went away");
         }
         if (std::exchange(continueWanted_, false)) {
@@ -160,7 +160,7 @@
                                                                 std::optional<std::uint64_t> length)
 {
     co_await waitForTurn();
-    if (callerGone_) {
+    if (callerDisconnected_) {
         co_return gone();
     }
     co_return prepareResponse(head, length);
@@ -210,7 +210,7 @@
 
 asio::awaitable<Result<void>> HttpServerExchange::writeOut(std::string data)
 {
-    if (callerGone_ || !connection_->isOpen()) {
+    if (callerDisconnected_ || !connection_->isOpen()) {
         co_return gone();
     }
     if (const error_code error = co_await connection_->write(std::move(data), bytesOfResponse_)) {
@@ -223,7 +223,7 @@
 asio::awaitable<void> HttpServerExchange::waitForTurn()
 {
     const auto self = shared_from_this();
-    while (!callerGone_ && !connection_->isFirst(*this)) {
+    while (!callerDisconnected_ && !connection_->isFirst(*this)) {
         error_code ignored;
         co_await turn_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
@@ -246,8 +246,8 @@
 
 void HttpServerExchange::onCallerDisconnected(std::function<void()> callback)
 {
-    callerGoneCallback_ = std::move(callback);
-    if (callerGone_ && callerGoneCallback_) {
+    callerDisconnectedCallback_ = std::move(callback);
+    if (callerDisconnected_ && callerDisconnectedCallback_) {
         // What is set when the post runs is called: the handler may have replaced or dropped the callback by then.
         asio::post(connection_->executor(), [self = shared_from_this()] { self->recordCallerDisconnected(); });
     }
@@ -255,11 +255,11 @@
 
 asio::awaitable<void> HttpServerExchange::finish()
 {
-    callerGoneCallback_ = nullptr;
+    callerDisconnectedCallback_ = nullptr;
     co_await waitForTurn();
     if (response_ == ResponseState::Complete) {
-        keepAlive_ = keepAlive_ && parser_.done() && !callerGone_;
-    } else if (!responseBegun() && !callerGone_ && connection_->isOpen()) {
+        keepAlive_ = keepAlive_ && parser_.done() && !callerDisconnected_;
+    } else if (!responseBegun() && !callerDisconnected_ && connection_->isOpen()) {
         keepAlive_ = false;
         HttpResponseHead head;
         head.status = InternalErrorStatus;
@@ -274,9 +274,9 @@
 void HttpServerExchange::recordCallerDisconnected()
 {
     keepAlive_ = false;
-    callerGone_ = true;
+    callerDisconnected_ = true;
     turn_.cancel();
-    if (const auto callback = std::exchange(callerGoneCallback_, nullptr)) {
+    if (const auto callback = std::exchange(callerDisconnectedCallback_, nullptr)) {
         callback();
     }
 }
--- a/src/http/httpserverexchange.h
+++ b/src/http/httpserverexchange.h
@@ -45,7 +45,7 @@
     [[nodiscard]] boost::asio::awaitable<void> waitForTurn();
     void abort();
     [[nodiscard]] bool responseBegun() const { return bytesOfResponse_ > 0; }
-    [[nodiscard]] bool callerDisconnected() const { return callerGone_; }
+    [[nodiscard]] bool callerDisconnected() const { return callerDisconnected_; }
     void onCallerDisconnected(std::function<void()> callback);
 
     /// Makes sure that exactly one complete response was sent, or that the connection shows that it was not.
@@ -77,7 +77,7 @@
     /// Never expire; cancelled when what is waited for has come.
     boost::asio::steady_timer turn_;
     boost::asio::steady_timer bodyEnd_;
-    std::function<void()> callerGoneCallback_;
+    std::function<void()> callerDisconnectedCallback_;
     ResponseState response_ = ResponseState::None;
     std::string pendingHead_;
     std::optional<std::uint64_t> remaining_;
@@ -85,7 +85,7 @@
     bool bodiless_ = false;
     bool continueWanted_ = false;
     bool keepAlive_ = true;
-    bool callerGone_ = false;
+    bool callerDisconnected_ = false;
     bool finished_ = false;
 };
 
--- a/src/ingress/ingresscontext.cpp
+++ b/src/ingress/ingresscontext.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Of the newest report in the usual time of a route; reports are means already.
-constexpr double UsualTimeGain = 0.1;
+constexpr double BaselineTimeGain = 0.1;
 /// How long nothing is sent to an upstream that leaves or has been replaced; the platform's list says more by then.
 constexpr Milliseconds DrainingHold{1000};
 /// Share of its target that a route is taken to need before anything is known.
@@ -40,22 +40,22 @@
 
 Duration IngressContext::baselineTime(const Route &route) const
 {
-    const auto found = usualMicroseconds_.find(route.name);
-    if (found == usualMicroseconds_.end()) {
+    const auto found = baselineMicroseconds_.find(route.name);
+    if (found == baselineMicroseconds_.end()) {
         return std::chrono::duration_cast<Duration>(route.targetLatency * DefaultShareOfTarget);
     }
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::micro>(found->second));
 }
 
-void IngressContext::recordUsualTime(const RouteName &route, const LoadReport &report)
+void IngressContext::recordBaselineTime(const RouteName &route, const LoadReport &report)
 {
     if (report.serviceTimeMicroseconds == 0) {
         return;
     }
     const double sample = report.serviceTimeMicroseconds;
-    const auto [place, isNew] = usualMicroseconds_.try_emplace(route, sample);
+    const auto [place, isNew] = baselineMicroseconds_.try_emplace(route, sample);
     if (!isNew) {
-        place->second += UsualTimeGain * (sample - place->second);
+        place->second += BaselineTimeGain * (sample - place->second);
     }
 }
 
@@ -72,8 +72,8 @@
     if (const auto &report = outcome.value().report) {
         view.onReached(upstream);
         view.onReport(upstream, *report, currentTime());
-        recordUsualTime(route, *report);
-        if (report->leaving) {
+        recordBaselineTime(route, *report);
+        if (report->draining) {
             view.onDraining(upstream, DrainingHold, currentTime());
         }
     }
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -90,10 +90,10 @@
     std::size_t openRequests = 0;
 
 private:
-    void recordUsualTime(const RouteName &route, const LoadReport &report);
+    void recordBaselineTime(const RouteName &route, const LoadReport &report);
     void learnFailure(const UpstreamName &upstream, Reason reason);
 
-    std::unordered_map<RouteName, double> usualMicroseconds_;
+    std::unordered_map<RouteName, double> baselineMicroseconds_;
 };
 
 }
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -51,7 +51,7 @@
     }
     exchange_.onCallerDisconnected([weak = weak_from_this()] {
         if (const auto request = weak.lock()) {
-            request->callerGone_ = true;
+            request->callerDisconnected_ = true;
             request->wakeUp_.cancel();
         }
     });
@@ -120,7 +120,7 @@
 asio::awaitable<void> ProxiedRequest::tryUntilEnded()
 {
     while (true) {
-        if (callerGone_) {
+        if (callerDisconnected_) {
             recordCallerDisconnected();
             co_return;
         }
@@ -153,7 +153,7 @@
 
 asio::awaitable<void> ProxiedRequest::waitForTry()
 {
-    if (tries_->anyEnded() || callerGone_) {
+    if (tries_->anyEnded() || callerDisconnected_) {
         co_return;
     }
     wakeUp_.expires_at(terms_.deadline);
--- a/src/ingress/proxiedrequest.h
+++ b/src/ingress/proxiedrequest.h
@@ -58,7 +58,7 @@
     std::shared_ptr<RequestTries> tries_;
     /// Wakes the loop at the deadline, or when it is cancelled.
     boost::asio::steady_timer wakeUp_;
-    bool callerGone_ = false;
+    bool callerDisconnected_ = false;
     bool streamed_ = false;
 };
 
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -145,7 +145,7 @@
     context_->view.onEnded(which->upstream);
     context_->learn(terms_.route->name, which->upstream, which->node, *outcome);
     if (upstreamDisconnected(*outcome)) {
-        brokeOff_ = which->upstream;
+        disconnectedUpstream_ = which->upstream;
     }
     std::erase(underWay_, which);
     ended_.push_back({which, std::move(*outcome)});
@@ -175,15 +175,15 @@
                                             which->cancellation);
 }
 
-asio::awaitable<std::optional<Result<CallOutcome>>> RequestTries::askFirst(RequestTryPointer which, CallHead question)
+asio::awaitable<std::optional<Result<CallOutcome>>> RequestTries::askFirst(RequestTryPointer which, CallHead query)
 {
-    question.question = true;
+    query.dryRun = true;
     const auto permit = [this](CallHead &asked) {
         stamp(asked);
         return true;
     };
     // Named first: g++ 12 destroys aggregate temporaries of a co_await expression twice.
-    auto outcome = co_await context_->peers.call(which->node, std::move(question), std::string(),
+    auto outcome = co_await context_->peers.call(which->node, std::move(query), std::string(),
                                                  content_.makeReceiver(which->number), permit, terms_.deadline,
                                                  which->cancellation);
     TryEnd asked{which, std::move(outcome)};
@@ -237,7 +237,7 @@
     head.route = route.name;
     head.priority = static_cast<std::uint8_t>(std::min<std::uint32_t>(route.priority, UINT8_MAX));
     head.declineThreshold = std::chrono::duration_cast<Microseconds>(which.declineThreshold);
-    head.disconnectedUpstream = brokeOff_;
+    head.disconnectedUpstream = disconnectedUpstream_;
     return head;
 }
 
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -95,7 +95,7 @@
     /// Sends to another node; a large body only after the node said that it would take the request.
     boost::asio::awaitable<Result<CallOutcome>> sendToPeer(RequestTryPointer which, CallHead head);
     /// Asks whether the node would take the request. Returns how the try ends if it would not.
-    boost::asio::awaitable<std::optional<Result<CallOutcome>>> askFirst(RequestTryPointer which, CallHead question);
+    boost::asio::awaitable<std::optional<Result<CallOutcome>>> askFirst(RequestTryPointer which, CallHead query);
     [[nodiscard]] bool permitSending(RequestTry &which, CallHead &head);
     void stamp(CallHead &head) const;
     [[nodiscard]] CallHead makeHead(const RequestTry &which, const HttpRequestHead &request) const;
@@ -115,7 +115,7 @@
     std::vector<UpstreamName> declined_;
     std::uint32_t asked_ = 0;
     /// The upstream that last broke off while it ran the request; empty: none did.
-    UpstreamName brokeOff_;
+    UpstreamName disconnectedUpstream_;
     RequestName name_;
 };
 
--- a/src/instances/catalogplan.cpp
+++ b/src/instances/catalogplan.cpp
@@ -41,20 +41,20 @@
 void CatalogPlan::recordStoreRead(TimePoint now)
 {
     hasRead_ = true;
-    ownInOrderSince_ = ownInOrderSince_.value_or(now);
+    ownStoreAvailableSince_ = ownStoreAvailableSince_.value_or(now);
 }
 
 void CatalogPlan::beginReading(TimePoint now)
 {
-    ownInOrderSince_.reset();
+    ownStoreAvailableSince_.reset();
     ownLostSince_ = now;
     hasRead_ = false;
 }
 
 void CatalogPlan::ownReadingLost(TimePoint now)
 {
-    if (std::exchange(ownInOrderSince_, std::nullopt)) {
-        lastInOrder_ = std::max<TimePoint>(lastInOrder_, now - SilenceNoticed);
+    if (std::exchange(ownStoreAvailableSince_, std::nullopt)) {
+        lastStoreAvailable_ = std::max<TimePoint>(lastStoreAvailable_, now - SilenceNoticed);
     }
     ownLostSince_ = now;
 }
@@ -75,7 +75,7 @@
 {
     // A node that has its news from this one brings none.
     const bool proven = report.age < times_.provenFor && report.hops < MostHops && report.reader != own_;
-    return report.store != StoreState::Away && proven;
+    return report.store != StoreState::Unavailable && proven;
 }
 
 void CatalogPlan::answered(const Endpoint &node, const SourceReport &report, TimePoint now)
@@ -93,8 +93,8 @@
     following_ = node;
     report_ = report;
     provenAt_ = now - report.age;
-    sourceInOrderSince_ = now - report.storeAvailableFor;
-    lastInOrder_ = std::max(lastInOrder_, provenAt_);
+    sourceStoreAvailableSince_ = now - report.storeAvailableFor;
+    lastStoreAvailable_ = std::max(lastStoreAvailable_, provenAt_);
     heardAway_ = false;
     searched_ = false;
     isOrphan_ = false;
@@ -118,7 +118,7 @@
     if (!following_ || following_ == node) {
         following_ = node;
         report_ = report;
-        report_.store = StoreState::Away;
+        report_.store = StoreState::Unavailable;
     }
 }
 
@@ -137,15 +137,15 @@
     ownLostSince_ = now;
 }
 
-std::optional<SourceQuery> CatalogPlan::question(const Endpoint &node) const
+std::optional<SourceQuery> CatalogPlan::query(const Endpoint &node) const
 {
-    SourceQuery question{node, Milliseconds{0}, StoreState::InOrder};
+    SourceQuery query{node, Milliseconds{0}, StoreState::Available};
     // The first answer of a node comes at once.
     if (following_ == node) {
-        question.wait = times_.followWait;
-        question.known = report_.store;
+        query.wait = times_.followWait;
+        query.known = report_.store;
     }
-    return question;
+    return query;
 }
 
 std::optional<SourceQuery> CatalogPlan::nextQuery(TimePoint now)
@@ -155,7 +155,7 @@
         return searches || (ownLostSince_ && isFollowingWell()) ? search(now) : std::nullopt;
     }
     if (const auto source = election_.source(now)) {
-        return question(*source);
+        return query(*source);
     }
     // Two that stand in must not follow each other.
     if (readsInOrder()) {
@@ -166,7 +166,7 @@
     }
     // A node that is not on the list yet goes on with the one that it began at.
     if (following_) {
-        return question(*following_);
+        return query(*following_);
     }
     isOrphan_ = true;
     return std::nullopt;
@@ -176,14 +176,14 @@
 std::optional<SourceQuery> CatalogPlan::search(TimePoint now)
 {
     if (isFollowingWell()) {
-        return question(*following_);
+        return query(*following_);
     }
     if (const auto substitute = election_.substitute(now)) {
-        return question(*substitute);
+        return query(*substitute);
     }
     searched_ = true;
     if (following_) {
-        return question(*following_);
+        return query(*following_);
     }
     isOrphan_ = true;
     return std::nullopt;
@@ -219,14 +219,14 @@
     const bool lostForLong = ownLostSince_ && now - *ownLostSince_ >= times_.lossBeforeAsking;
     const bool ownIsLost = isReaderHere() ? lostForLong : ownLostSince_.has_value();
     if (reading() != StoreReading::None && hasRead_ && !ownIsLost) {
-        return settles ? StoreState::Settling : StoreState::InOrder;
+        return settles ? StoreState::Recovering : StoreState::Available;
     }
     const bool knowsBetter = following_ && !searched_ && now - provenAt_ < times_.provenFor;
     if (!knowsBetter) {
-        return StoreState::Away;
+        return StoreState::Unavailable;
     }
     // While others are asked, what was true a moment ago.
-    return isFollowingWell() ? report_.store : StoreState::InOrder;
+    return isFollowingWell() ? report_.store : StoreState::Available;
 }
 
 std::uint8_t CatalogPlan::hops() const
@@ -241,10 +241,10 @@
 
 Milliseconds CatalogPlan::storeAvailableFor(TimePoint now) const
 {
-    if (readsInOrder() && ownInOrderSince_) {
-        return std::chrono::duration_cast<Milliseconds>(now - *ownInOrderSince_);
+    if (readsInOrder() && ownStoreAvailableSince_) {
+        return std::chrono::duration_cast<Milliseconds>(now - *ownStoreAvailableSince_);
     }
-    return following_ ? std::chrono::duration_cast<Milliseconds>(now - sourceInOrderSince_) : Milliseconds{0};
+    return following_ ? std::chrono::duration_cast<Milliseconds>(now - sourceStoreAvailableSince_) : Milliseconds{0};
 }
 
 Milliseconds CatalogPlan::age(TimePoint now) const
--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -25,7 +25,7 @@
 /// What an answer of another node tells of where that has its news from.
 struct SourceReport
 {
-    StoreState store = StoreState::Away;
+    StoreState store = StoreState::Unavailable;
     /// Nodes between the one that answered and the store.
     std::uint8_t hops = 0;
     /// The node that reads the store for it; empty if none does.
@@ -43,7 +43,7 @@
     /// The answer may take so long when there is nothing newer.
     Milliseconds wait{0};
     /// What this node takes the other one's store to be; a change of it is news.
-    StoreState known = StoreState::InOrder;
+    StoreState known = StoreState::Available;
 };
 
 /// Decides whom a node follows, when it asks whom, and whether it reads the platform's store itself.
@@ -97,16 +97,16 @@
     /// When the node that reads the store for this one last did.
     [[nodiscard]] TimePoint provenAt() const { return provenAt_; }
     /// The last time that some node is known to have read the store; what lapsed did so later.
-    [[nodiscard]] TimePoint lastStoreAvailable() const { return lastInOrder_; }
+    [[nodiscard]] TimePoint lastStoreAvailable() const { return lastStoreAvailable_; }
     /// Since when this node's own calls fail; nothing while they do not.
     [[nodiscard]] const std::optional<TimePoint> &ownLostSince() const { return ownLostSince_; }
 
 private:
     [[nodiscard]] bool isUsable(const SourceReport &report) const;
-    [[nodiscard]] bool isFollowingWell() const { return following_ && report_.store != StoreState::Away; }
+    [[nodiscard]] bool isFollowingWell() const { return following_ && report_.store != StoreState::Unavailable; }
     [[nodiscard]] bool isReaderHere() const { return hasList_ && election_.isReader() && (isListed_ || !following_); }
     [[nodiscard]] bool readsInOrder() const { return reading() != StoreReading::None && hasRead_ && !ownLostSince_; }
-    [[nodiscard]] std::optional<SourceQuery> question(const Endpoint &node) const;
+    [[nodiscard]] std::optional<SourceQuery> query(const Endpoint &node) const;
     [[nodiscard]] std::optional<SourceQuery> search(TimePoint now);
     void follow(const Endpoint &node, const SourceReport &report, TimePoint now);
     void noteAway(const Endpoint &node, const SourceReport &report, TimePoint now);
@@ -124,10 +124,10 @@
     SourceReport report_;
     TimePoint provenAt_;
     /// Of the node that reads the store for the one followed.
-    TimePoint sourceInOrderSince_;
-    TimePoint lastInOrder_;
+    TimePoint sourceStoreAvailableSince_;
+    TimePoint lastStoreAvailable_;
     /// Of this node's own reading; nothing while it does not read, or fails.
-    std::optional<TimePoint> ownInOrderSince_;
+    std::optional<TimePoint> ownStoreAvailableSince_;
     std::optional<TimePoint> ownLostSince_;
     /// The store has answered this node since it began to read.
     bool hasRead_ = false;
--- a/src/instances/instancedirectory.cpp
+++ b/src/instances/instancedirectory.cpp
@@ -86,7 +86,7 @@
 void InstanceDirectory::storeLost(TimePoint lastStoreAvailable)
 {
     if (!std::exchange(storeLost_, true)) {
-        lastInOrder_ = lastStoreAvailable;
+        lastStoreAvailable_ = lastStoreAvailable;
         readUntil_ = lastStoreAvailable;
     }
 }
@@ -103,7 +103,7 @@
 
 void InstanceDirectory::storeAvailableThroughout(TimePoint from, TimePoint to)
 {
-    if (from > lastInOrder_) {
+    if (from > lastStoreAvailable_) {
         return;
     }
     readUntil_ = std::max(readUntil_, to);
--- a/src/instances/instancedirectory.h
+++ b/src/instances/instancedirectory.h
@@ -62,7 +62,7 @@
     void storeLost(TimePoint lastStoreAvailable);
     /// Whether another node could read the store meanwhile, so that only this node's way to it was cut. The other
     /// upstreams did not lapse then, and what the store no longer lists when it is back is gone.
-    void storeSeenInOrder(bool inOrder) { othersReadStore_ = inOrder; }
+    void storeSeenInOrder(bool storeAvailable) { othersReadStore_ = storeAvailable; }
     /// The store answers again.
     void storeBack(TimePoint now);
     /// Another node has read the store without a loss from @p from to @p to. If that takes in the time in which this
@@ -126,7 +126,7 @@
     bool othersReadStore_ = false;
     TimePoint holdUntil_;
     /// Of the last loss: when the store had been in order before it, and when it was back.
-    TimePoint lastInOrder_;
+    TimePoint lastStoreAvailable_;
     TimePoint backAt_;
     /// Until then another node has read it since before the loss.
     TimePoint readUntil_;
--- a/src/instances/readerelection.cpp
+++ b/src/instances/readerelection.cpp
@@ -35,7 +35,7 @@
     const std::vector<Endpoint> ranked = rankedNodes(directory, own);
     const auto rank = static_cast<std::size_t>(std::find(ranked.begin(), ranked.end(), own) - ranked.begin());
     const std::size_t readers = (ranked.size() + settings_.nodesPerReader - 1) / settings_.nodesPerReader;
-    isDeputy_ = rank >= readers && rank < readers * (1 + settings_.deputiesPerReader);
+    isStandby_ = rank >= readers && rank < readers * (1 + settings_.standbysPerReader);
     if (rank >= readers) {
         chooseSources(ranked, rank, readers);
     }
@@ -60,10 +60,10 @@
 {
     const Endpoint &own = ranked[rank];
     const std::size_t reader = rank % readers;
-    for (std::size_t number = 0; number < settings_.deputiesPerReader; ++number) {
-        const std::size_t deputy = readers + reader * settings_.deputiesPerReader + number;
-        if (deputy < ranked.size()) {
-            addSubstitute(ranked[deputy], own);
+    for (std::size_t number = 0; number < settings_.standbysPerReader; ++number) {
+        const std::size_t standby = readers + reader * settings_.standbysPerReader + number;
+        if (standby < ranked.size()) {
+            addSubstitute(ranked[standby], own);
         }
     }
     addSubstitute(ranked[(reader + 1) % readers], own);
--- a/src/instances/readerelection.h
+++ b/src/instances/readerelection.h
@@ -21,7 +21,7 @@
     /// .7 s are 1.8 KB/s, under the 3 KB/s that a node may spend; news is four steps from the store.
     std::size_t followersPerNode = 3;
     /// Nodes that stand in for one that reads while it can't.
-    std::size_t deputiesPerReader = 2;
+    std::size_t standbysPerReader = 2;
     /// How many others are asked before this node reads for itself.
     std::size_t mostSources = 3;
     /// How many of the other regions' readers are asked besides while the store is away.
@@ -59,7 +59,7 @@
     /// This node is one of those that read while all is well.
     [[nodiscard]] bool isReader() const { return sources_.empty(); }
     /// This node is one of those that stand in.
-    [[nodiscard]] bool isStandby() const { return isDeputy_; }
+    [[nodiscard]] bool isStandby() const { return isStandby_; }
 
 private:
     struct Distrust
@@ -83,7 +83,7 @@
     std::vector<Endpoint> sources_;
     /// Whom else it asks while these can't read the store.
     std::vector<Endpoint> substitutes_;
-    bool isDeputy_ = false;
+    bool isStandby_ = false;
     std::map<Endpoint, Distrust> distrusted_;
 };
 
--- a/src/instances/storestate.h
+++ b/src/instances/storestate.h
@@ -8,22 +8,22 @@
 
 /// What a node knows of the platform's store, from its own calls or from the node that it follows.
 enum class StoreState : std::uint8_t {
-    InOrder,
+    Available,
     /// It is back since a moment; entries that lapsed meanwhile may still be missing.
-    Settling,
+    Recovering,
     /// It can't be read, by nobody that this node knows of.
-    Away,
+    Unavailable,
 };
 
 /// The stable word for @p state in logs and at the operators' endpoint. Thread safety: safe.
 [[nodiscard]] constexpr std::string_view toString(StoreState state)
 {
     switch (state) {
-    case StoreState::InOrder:
+    case StoreState::Available:
         return "in-order";
-    case StoreState::Settling:
+    case StoreState::Recovering:
         return "settling";
-    case StoreState::Away:
+    case StoreState::Unavailable:
         break;
     }
     return "away";
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -18,9 +18,9 @@
     return std::max(std::chrono::duration_cast<Milliseconds>(to - from), Milliseconds{0});
 }
 
-QuarantineDigest toggled(QuarantineDigest mark, const RequestFingerprint &request)
+QuarantineDigest toggled(QuarantineDigest digest, const RequestFingerprint &request)
 {
-    return QuarantineDigest(mark.value() ^ request.digest.low);
+    return QuarantineDigest(digest.value() ^ request.digest.low);
 }
 
 }
@@ -42,18 +42,18 @@
 
 CrashResult Quarantine::crashed(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now)
 {
-    CrashResult news;
+    CrashResult result;
     for (const RequestFingerprint &request : held) {
         if (allowed_.contains(request)) {
             continue;
         }
         const bool refusedNow = add(request, crash, now);
-        news.known.push_back(toldOf(*entries_.find(request), now));
+        result.known.push_back(toldOf(*entries_.find(request), now));
         if (refusedNow) {
-            news.refused.push_back(news.known.back());
+            result.refused.push_back(result.known.back());
         }
     }
-    return news;
+    return result;
 }
 
 std::vector<SuspectedRequest> Quarantine::take(const std::vector<SuspectedRequest> &told, TimePoint now)
@@ -90,7 +90,7 @@
     const bool refusedNow = isRefused(entry) && !wasRefused;
     if (refusedNow) {
         ++refused_;
-        mark_ = toggled(mark_, request);
+        digest_ = toggled(digest_, request);
     }
     if (isNew || refusedNow) {
         makeRoom(request, refusedNow);
@@ -120,7 +120,7 @@
 {
     if (isRefused(place->second)) {
         --refused_;
-        mark_ = toggled(mark_, place->first);
+        digest_ = toggled(digest_, place->first);
     }
     entries_.erase(place);
 }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -64,7 +64,7 @@
     [[nodiscard]] bool refusesNone() const { return refused_ == 0; }
     /// Why the request must not be run, with the time until it may be tried again; nothing if it may be run.
     [[nodiscard]] std::optional<Failure> rejection(const RequestFingerprint &request, TimePoint now) const;
-    [[nodiscard]] QuarantineDigest mark() const { return mark_; }
+    [[nodiscard]] QuarantineDigest digest() const { return digest_; }
     /// Those that are refused, the latest crash first.
     [[nodiscard]] std::vector<SuspectedRequest> refused(TimePoint now) const;
     [[nodiscard]] std::size_t refusedCount() const { return refused_; }
@@ -91,7 +91,7 @@
     std::unordered_set<RequestFingerprint> allowed_;
     Entries entries_;
     std::size_t refused_ = 0;
-    QuarantineDigest mark_;
+    QuarantineDigest digest_;
 };
 
 }
--- a/src/quarantine/suspectedrequest.h
+++ b/src/quarantine/suspectedrequest.h
@@ -21,12 +21,12 @@
 };
 
 /// Names the set of requests that a node refuses; two nodes with the same mark refuse the same ones. Zero: none.
-using QuarantineDigest = StrongType<struct QuarantineMarkTag, std::uint64_t>;
+using QuarantineDigest = StrongType<struct QuarantineDigestTag, std::uint64_t>;
 
 /// What one node tells another of such requests.
-struct QuarantineNews
+struct QuarantineUpdate
 {
-    QuarantineDigest mark;
+    QuarantineDigest digest;
     std::vector<SuspectedRequest> requests;
 };
 
--- a/src/quarantine/upstreamexits.cpp
+++ b/src/quarantine/upstreamexits.cpp
@@ -9,9 +9,9 @@
 {
 
 constexpr std::chrono::minutes Memory{2};
-constexpr std::size_t MostEnds = 8;
+constexpr std::size_t MaxExits = 8;
 /// So many ends that no request explains are no chance any more.
-constexpr std::ptrdiff_t UnexplainedEnds = 2;
+constexpr std::ptrdiff_t UnexplainedExits = 2;
 
 }
 
@@ -23,18 +23,18 @@
         });
         return end.crash != crash && now - end.at < Memory && !explained;
     };
-    return std::count_if(ends_.begin(), ends_.end(), isUnexplained) >= UnexplainedEnds;
+    return std::count_if(exits_.begin(), exits_.end(), isUnexplained) >= UnexplainedExits;
 }
 
 void UpstreamExits::record(UpstreamCrashId crash, const std::vector<RequestFingerprint> &held, TimePoint now)
 {
-    if (ends_.empty() || ends_.back().crash != crash) {
-        ends_.push_back({crash, now, {}});
+    if (exits_.empty() || exits_.back().crash != crash) {
+        exits_.push_back({crash, now, {}});
     }
-    std::vector<RequestFingerprint> &all = ends_.back().held;
+    std::vector<RequestFingerprint> &all = exits_.back().held;
     all.insert(all.end(), held.begin(), held.end());
-    if (ends_.size() > MostEnds) {
-        ends_.pop_front();
+    if (exits_.size() > MaxExits) {
+        exits_.pop_front();
     }
 }
 
--- a/src/quarantine/upstreamexits.h
+++ b/src/quarantine/upstreamexits.h
@@ -30,7 +30,7 @@
         std::vector<RequestFingerprint> held;
     };
 
-    std::deque<End> ends_;
+    std::deque<End> exits_;
 };
 
 }
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -71,7 +71,7 @@
         return std::nullopt;
     }
     const auto better = [](const Rated &left, const Rated &right) {
-        return std::tie(left.shut, left.cost) < std::tie(right.shut, right.cost);
+        return std::tie(left.ejected, left.cost) < std::tie(right.ejected, right.cost);
     };
     const std::size_t compared = std::min<std::size_t>(rated_.size(), 2);
     std::partial_sort(rated_.begin(), rated_.begin() + static_cast<std::ptrdiff_t>(compared), rated_.end(), better);
@@ -80,7 +80,7 @@
     choice.candidate = best.candidate;
     choice.expected = fromSeconds(best.seconds);
     choice.link = linkBetween(own_, request.candidates[best.candidate].location);
-    if (compared > 1 && !rated_[1].shut) {
+    if (compared > 1 && !rated_[1].ejected) {
         // Its node sees the time without the crossing, and turning to the other one costs that crossing as well.
         const double target = inSeconds(std::max(request.targetLeft, LeastTarget));
         const double share = shareOfTargetAt(rated_[1].cost - best.linkCost);
@@ -94,7 +94,7 @@
     const PlacementCandidate &item = request.candidates[candidate];
     Rated rated;
     rated.candidate = candidate;
-    rated.shut = view_.isEjected(item.upstream, request.now);
+    rated.ejected = view_.isEjected(item.upstream, request.now);
     double there = inSeconds(view_.expected(item.upstream, request.demand, request.now));
     if (item.warmingUp && view_.isUnknown(item.upstream)) {
         there *= settings_.warmUpFactor;
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -100,7 +100,7 @@
         double linkCost = 0.0;
         /// Time and bytes together.
         double cost = 0.0;
-        bool shut = false;
+        bool ejected = false;
     };
 
     [[nodiscard]] Rated rate(const PlacementRequest &request, std::size_t candidate);
--- a/src/routing/placementview.cpp
+++ b/src/routing/placementview.cpp
@@ -31,8 +31,8 @@
     : settings_(settings)
 {
     if (settings_.assumesTypical) {
-        typical_.pace = settings_.typicalPace;
-        typical_.recoveredSlowdown = settings_.typicalPace;
+        typical_.slowdown = settings_.typicalSlowdown;
+        typical_.recoveredSlowdown = settings_.typicalSlowdown;
     }
 }
 
@@ -80,7 +80,7 @@
     Record &record = records_[upstream];
     const Duration hold = settings_.unreachableBase * (1U << std::min(record.unreachable, MostDoublings));
     ++record.unreachable;
-    record.shutUntil = now + std::min(hold, settings_.unreachableLimit);
+    record.ejectedUntil = now + std::min(hold, settings_.unreachableLimit);
 }
 
 void PlacementView::onReached(const UpstreamName &upstream)
@@ -92,7 +92,7 @@
 void PlacementView::onDraining(const UpstreamName &upstream, Duration hold, TimePoint now)
 {
     Record &record = records_[upstream];
-    record.shutUntil = std::max(record.shutUntil, now + hold);
+    record.ejectedUntil = std::max(record.ejectedUntil, now + hold);
 }
 
 PlacementView::Load PlacementView::loadIn(const LoadReport &report) const
@@ -100,10 +100,10 @@
     const double slots = std::max(report.slots, 1U);
     const bool full = report.inFlight >= report.slots;
     Load load;
-    load.pace = report.slowdownPercent > 0 ? report.slowdownPercent / Percent : 1.0;
-    load.spellSeconds = inSeconds(Microseconds(report.slowPeriodLeftMicroseconds));
+    load.slowdown = report.slowdownPercent > 0 ? report.slowdownPercent / Percent : 1.0;
+    load.slowPeriodSeconds = inSeconds(Microseconds(report.slowPeriodLeftMicroseconds));
     load.recoveredSlowdown =
-        report.recoveredSlowdownPercent > 0 ? report.recoveredSlowdownPercent / Percent : load.pace;
+        report.recoveredSlowdownPercent > 0 ? report.recoveredSlowdownPercent / Percent : load.slowdown;
     load.urgentWait = full ? 1.0 / slots : 0.0;
     load.wait = full ? (1.0 + report.queued) / slots : 0.0;
     load.failureShare = report.failurePercent / Percent;
@@ -128,8 +128,8 @@
 PlacementView::Load PlacementView::mixed(double share, const Load &one, const Load &other)
 {
     Load load;
-    load.pace = mix(share, one.pace, other.pace);
-    load.spellSeconds = mix(share, one.spellSeconds, other.spellSeconds);
+    load.slowdown = mix(share, one.slowdown, other.slowdown);
+    load.slowPeriodSeconds = mix(share, one.slowPeriodSeconds, other.slowPeriodSeconds);
     load.recoveredSlowdown = mix(share, one.recoveredSlowdown, other.recoveredSlowdown);
     load.urgentWait = mix(share, one.urgentWait, other.urgentWait);
     load.wait = mix(share, one.wait, other.wait);
@@ -138,9 +138,9 @@
     return load;
 }
 
-double PlacementView::workSeconds(const Load &load, double usualSeconds)
+double PlacementView::workSeconds(const Load &load, double baselineSeconds)
 {
-    return std::min(usualSeconds * load.pace, load.spellSeconds + usualSeconds * load.recoveredSlowdown);
+    return std::min(baselineSeconds * load.slowdown, load.slowPeriodSeconds + baselineSeconds * load.recoveredSlowdown);
 }
 
 Duration PlacementView::expected(const UpstreamName &upstream, const PlacementDemand &demand, TimePoint now) const
@@ -148,17 +148,17 @@
     const auto found = records_.find(upstream);
     const Load load = found == records_.end() ? typical_ : loadOf(found->second, now);
     const double failures = found == records_.end() ? 0.0 : failuresOf(found->second, now);
-    const double usual = inSeconds(demand.baselineTime);
-    const double ahead = meanServiceSeconds_ > 0.0 ? meanServiceSeconds_ : usual;
+    const double baseline = inSeconds(demand.baselineTime);
+    const double ahead = meanServiceSeconds_ > 0.0 ? meanServiceSeconds_ : baseline;
     const double wait = workSeconds(load, ahead) * (demand.urgent ? load.urgentWait : load.wait);
     const double penalty = 1.0 + settings_.failureShareFactor * load.failureShare + settings_.failurePenalty * failures;
-    return fromSeconds(load.delaySeconds + (wait + workSeconds(load, usual)) * penalty);
+    return fromSeconds(load.delaySeconds + (wait + workSeconds(load, baseline)) * penalty);
 }
 
 bool PlacementView::isEjected(const UpstreamName &upstream, TimePoint now) const
 {
     const auto found = records_.find(upstream);
-    return found != records_.end() && now < found->second.shutUntil;
+    return found != records_.end() && now < found->second.ejectedUntil;
 }
 
 bool PlacementView::isUnknown(const UpstreamName &upstream) const
--- a/src/routing/placementview.h
+++ b/src/routing/placementview.h
@@ -19,7 +19,7 @@
     /// Weight of the newest report in what is typical.
     double typicalGain = 0.03;
     /// What is assumed to be typical before any report: a quarter of the VMs four times slower.
-    double typicalPace = 1.7;
+    double typicalSlowdown = 1.7;
     /// Time in which evidence of failures falls to 1/e.
     Duration failureMemory = std::chrono::seconds{3};
     /// How many times longer a request is taken to need for each recent failure seen here, and for a share of one of
@@ -85,9 +85,9 @@
     struct Load
     {
         /// How many times longer than usual work takes.
-        double pace = 1.0;
+        double slowdown = 1.0;
         /// Until the end of the VM's slow spell, for which requests wait if that is quicker, and the pace after it.
-        double spellSeconds = 0.0;
+        double slowPeriodSeconds = 0.0;
         double recoveredSlowdown = 1.0;
         /// Calls before a request that goes before all that waits, and before one that goes behind, for each slot.
         double urgentWait = 0.0;
@@ -108,7 +108,7 @@
         double failures = 0.0;
         TimePoint failureTime;
         std::uint32_t unreachable = 0;
-        TimePoint shutUntil;
+        TimePoint ejectedUntil;
     };
 
     [[nodiscard]] double failuresOf(const Record &record, TimePoint now) const;
@@ -116,7 +116,7 @@
     [[nodiscard]] Load loadIn(const LoadReport &report) const;
     [[nodiscard]] static Load mixed(double share, const Load &one, const Load &other);
     /// What work takes that needs @p usualSeconds when nothing is in the way.
-    [[nodiscard]] static double workSeconds(const Load &load, double usualSeconds);
+    [[nodiscard]] static double workSeconds(const Load &load, double baselineSeconds);
 
     PlacementViewSettings settings_;
     std::unordered_map<UpstreamName, Record> records_;
--- a/src/rpc/peerclient.cpp
+++ b/src/rpc/peerclient.cpp
@@ -398,14 +398,15 @@
     co_return co_await ask<Catalog>(implementation_, std::move(peer), deadline, request.wait, send);
 }
 
-asio::awaitable<Result<QuarantineNews>> PeerClient::quarantine(Endpoint peer, QuarantineNews news, TimePoint deadline)
+asio::awaitable<Result<QuarantineUpdate>> PeerClient::quarantine(Endpoint peer, QuarantineUpdate update,
+                                                                 TimePoint deadline)
 {
-    const auto send = [&news](Wire::Node::Client &node) -> kj::Promise<QuarantineNews> {
+    const auto send = [&update](Wire::Node::Client &node) -> kj::Promise<QuarantineUpdate> {
         auto message = node.quarantineRequest();
-        WireConversion::write(message.initNews(), news);
+        WireConversion::write(message.initNews(), update);
         return message.send().then([](auto &&response) { return WireConversion::read(response.getNews()); });
     };
-    co_return co_await ask<QuarantineNews>(implementation_, std::move(peer), deadline, Duration{0}, send);
+    co_return co_await ask<QuarantineUpdate>(implementation_, std::move(peer), deadline, Duration{0}, send);
 }
 
 asio::awaitable<Result<PeerProbe>> PeerClient::probe(Endpoint peer, TimePoint deadline)
--- a/src/rpc/peerclient.h
+++ b/src/rpc/peerclient.h
@@ -43,7 +43,8 @@
                                                      std::shared_ptr<AnswerReceiver> answer, SendPermit permit,
                                                      TimePoint deadline, std::shared_ptr<Cancellation> cancellation);
     boost::asio::awaitable<Result<Catalog>> catalog(Endpoint peer, CatalogRequest request, TimePoint deadline);
-    boost::asio::awaitable<Result<QuarantineNews>> quarantine(Endpoint peer, QuarantineNews news, TimePoint deadline);
+    boost::asio::awaitable<Result<QuarantineUpdate>> quarantine(Endpoint peer, QuarantineUpdate update,
+                                                                TimePoint deadline);
     boost::asio::awaitable<Result<PeerProbe>> probe(Endpoint peer, TimePoint deadline);
 
     /// New connections to peers for which @p isPaid returns true are compressed: what crosses to them is paid for by
--- a/src/rpc/peermessages.h
+++ b/src/rpc/peermessages.h
@@ -21,7 +21,7 @@
 
 /// Which routes and which list a node has. Every answer carries one, so that a node whose own source fell silent
 /// learns from any other that it missed a change.
-struct CatalogMark
+struct CatalogVersions
 {
     RouteVersion routes;
     StoreRevision list;
@@ -57,7 +57,7 @@
     Microseconds declineThreshold{0};
     /// The body is not here, and nothing is to be run: would the egress take the call now? Its outcome is a failure in
     /// any case, with the reason None if it would.
-    bool question = false;
+    bool dryRun = false;
     /// The upstream that last broke off while it ran the call, in an earlier try; empty: none did. This call may have
     /// ended it, or one beside it.
     UpstreamName disconnectedUpstream;
@@ -88,7 +88,7 @@
     NodeIdentity identity;
     std::optional<LoadReport> report;
     std::variant<Failure, CompleteAnswer, StreamedAnswer> result;
-    CatalogMark catalog;
+    CatalogVersions catalog;
     /// Which requests the node refuses, since they end upstreams.
     QuarantineDigest quarantine;
 };
@@ -96,25 +96,25 @@
 /// What the asker has of the platform.
 struct CatalogRequest
 {
-    CatalogMark have;
+    CatalogVersions have;
     /// The answer may take so long when there is nothing newer.
     Milliseconds wait{0};
     /// What the asker takes the other node's store to be; another state is news.
-    StoreState known = StoreState::InOrder;
+    StoreState known = StoreState::Available;
 };
 
 /// What another node has that the asker lacks.
 struct Catalog
 {
     /// What the sender has; zero for what it lacks itself.
-    CatalogMark has;
+    CatalogVersions has;
     /// As the platform published them; empty if the asker has them.
     PackedRoutes routes;
     /// The changes make up the whole list; else they are those after the asker's revision.
     bool whole = false;
     std::vector<InstanceChange> changes;
     /// Where this comes from.
-    StoreState store = StoreState::Away;
+    StoreState store = StoreState::Unavailable;
     /// Nodes between the sender and the store: 0 for one that reads it.
     std::uint8_t hops = 0;
     /// The node that reads the store for the sender; empty if none does.
--- a/src/rpc/peerserver.cpp
+++ b/src/rpc/peerserver.cpp
@@ -127,8 +127,8 @@
         CatalogRequest request;
         request.have = {RouteVersion(params.getHaveRoutes()), StoreRevision(params.getHaveRevision())};
         request.wait = std::min(Milliseconds(params.getWait()), LongestCatalogWait);
-        const bool isKnown = params.getKnown() != static_cast<std::uint8_t>(StoreState::InOrder);
-        request.known = isKnown ? WireConversion::readStoreState(params.getKnown()) : StoreState::InOrder;
+        const bool isKnown = params.getKnown() != static_cast<std::uint8_t>(StoreState::Available);
+        request.known = isKnown ? WireConversion::readStoreState(params.getKnown()) : StoreState::Available;
         return toPromise(executor_, service_.catalog(request)).then([context](Catalog catalog) mutable {
             WireConversion::write(context.getResults().initCatalog(), catalog);
         });
@@ -136,8 +136,8 @@
 
     kj::Promise<void> quarantine(QuarantineContext context) override
     {
-        const QuarantineNews news = service_.quarantine(WireConversion::read(context.getParams().getNews()));
-        WireConversion::write(context.getResults().initNews(), news);
+        const QuarantineUpdate update = service_.quarantine(WireConversion::read(context.getParams().getNews()));
+        WireConversion::write(context.getResults().initNews(), update);
         return kj::READY_NOW;
     }
 
--- a/src/rpc/peerservice.h
+++ b/src/rpc/peerservice.h
@@ -40,7 +40,7 @@
     /// What this node has of the platform and the asker lacks; see CatalogRequest::wait.
     virtual boost::asio::awaitable<Catalog> catalog(CatalogRequest request) = 0;
     /// Takes what another node knows of requests that end upstreams; returns what this one knows more.
-    virtual QuarantineNews quarantine(const QuarantineNews &news) = 0;
+    virtual QuarantineUpdate quarantine(const QuarantineUpdate &update) = 0;
 };
 
 }
--- a/src/rpc/wireconversion.cpp
+++ b/src/rpc/wireconversion.cpp
@@ -47,13 +47,13 @@
                    Milliseconds(wire.getRetryAfterMilliseconds()), readText(wire.getDetail())};
 }
 
-void write(Wire::CatalogMark::Builder wire, const CatalogMark &mark)
+void write(Wire::CatalogMark::Builder wire, const CatalogVersions &versions)
 {
-    wire.setRoutes(mark.routes.value());
-    wire.setList(mark.list.value());
+    wire.setRoutes(versions.routes.value());
+    wire.setList(versions.list.value());
 }
 
-CatalogMark readMark(Wire::CatalogMark::Reader wire)
+CatalogVersions readVersions(Wire::CatalogMark::Reader wire)
 {
     return {RouteVersion(wire.getRoutes()), StoreRevision(wire.getList())};
 }
@@ -131,7 +131,7 @@
     wire.setQueued(report.queued);
     wire.setSlots(report.slots);
     wire.setServiceTime(report.serviceTimeMicroseconds);
-    wire.setLeaving(report.leaving);
+    wire.setLeaving(report.draining);
     wire.setPacePercent(report.slowdownPercent);
     wire.setMeanService(report.meanServiceMicroseconds);
     wire.setFailurePercent(report.failurePercent);
@@ -147,7 +147,7 @@
     report.queued = wire.getQueued();
     report.slots = wire.getSlots();
     report.serviceTimeMicroseconds = wire.getServiceTime();
-    report.leaving = wire.getLeaving();
+    report.draining = wire.getLeaving();
     report.slowdownPercent = wire.getPacePercent();
     report.meanServiceMicroseconds = wire.getMeanService();
     report.failurePercent = wire.getFailurePercent();
@@ -174,7 +174,7 @@
     wire.setRoute(head.route.value());
     wire.setPriority(head.priority);
     wire.setTargetLatency(head.targetLatencyLeft.count());
-    wire.setQuestion(head.question);
+    wire.setQuestion(head.dryRun);
     wire.setBrokeOff(head.disconnectedUpstream.value());
     wire.setAcceptable(static_cast<std::uint64_t>(std::max<Microseconds::rep>(0, head.declineThreshold.count())));
 }
@@ -198,7 +198,7 @@
     head.priority = wire.getPriority();
     head.targetLatencyLeft = Microseconds(wire.getTargetLatency());
     head.declineThreshold = Microseconds(wire.getAcceptable());
-    head.question = wire.getQuestion();
+    head.dryRun = wire.getQuestion();
     head.disconnectedUpstream = UpstreamName(readText(wire.getBrokeOff()));
     return head;
 }
@@ -235,7 +235,7 @@
 
 CallOutcome read(Wire::CallOutcome::Reader wire)
 {
-    CallOutcome outcome{read(wire.getIdentity()), std::nullopt, StreamedAnswer{}, readMark(wire.getCatalog()),
+    CallOutcome outcome{read(wire.getIdentity()), std::nullopt, StreamedAnswer{}, readVersions(wire.getCatalog()),
                         QuarantineDigest(wire.getQuarantine())};
     if (wire.hasReport()) {
         outcome.report = read(wire.getReport());
@@ -255,7 +255,7 @@
     wire.setRoutes(asData(catalog.routes.bytes));
     wire.setRevision(catalog.has.list.value());
     wire.setWhole(catalog.whole);
-    wire.setInOrder(catalog.store == StoreState::InOrder);
+    wire.setInOrder(catalog.store == StoreState::Available);
     wire.setStore(static_cast<std::uint8_t>(catalog.store));
     wire.setReader(catalog.reader.value());
     wire.setStoreAge(static_cast<std::uint32_t>(catalog.storeAge.count()));
@@ -287,7 +287,7 @@
     catalog.has = {RouteVersion(wire.getRoutesVersion()), StoreRevision(wire.getRevision())};
     catalog.routes.bytes = readBytes(wire.getRoutes());
     catalog.whole = wire.getWhole();
-    catalog.store = wire.getInOrder() ? StoreState::InOrder : readStoreState(wire.getStore());
+    catalog.store = wire.getInOrder() ? StoreState::Available : readStoreState(wire.getStore());
     catalog.reader = Endpoint(readText(wire.getReader()));
     catalog.storeAge = Milliseconds(wire.getStoreAge());
     catalog.quarantine = QuarantineDigest(wire.getQuarantine());
@@ -306,29 +306,29 @@
     return catalog;
 }
 
-void write(Wire::QuarantineNews::Builder wire, const QuarantineNews &news)
+void write(Wire::QuarantineNews::Builder wire, const QuarantineUpdate &update)
 {
-    wire.setMark(news.mark.value());
-    auto requests = wire.initRequests(static_cast<unsigned>(news.requests.size()));
+    wire.setMark(update.digest.value());
+    auto requests = wire.initRequests(static_cast<unsigned>(update.requests.size()));
     unsigned index = 0;
-    for (const SuspectedRequest &request : news.requests) {
+    for (const SuspectedRequest &request : update.requests) {
         write(requests[index++], request);
     }
 }
 
-QuarantineNews read(Wire::QuarantineNews::Reader wire)
+QuarantineUpdate read(Wire::QuarantineNews::Reader wire)
 {
-    QuarantineNews news{QuarantineDigest(wire.getMark()), {}};
+    QuarantineUpdate update{QuarantineDigest(wire.getMark()), {}};
     for (const auto item : wire.getRequests()) {
-        news.requests.push_back(readSuspected(item));
+        update.requests.push_back(readSuspected(item));
     }
-    return news;
+    return update;
 }
 
 StoreState readStoreState(std::uint8_t wire)
 {
     // What this version does not know, and what an earlier one did not say, is none to rely on.
-    return wire == static_cast<std::uint8_t>(StoreState::Settling) ? StoreState::Settling : StoreState::Away;
+    return wire == static_cast<std::uint8_t>(StoreState::Recovering) ? StoreState::Recovering : StoreState::Unavailable;
 }
 
 std::string readText(capnp::Text::Reader wire)
--- a/src/rpc/wireconversion.h
+++ b/src/rpc/wireconversion.h
@@ -16,7 +16,7 @@
 void write(Wire::AnswerHead::Builder wire, const AnswerHead &head);
 void write(Wire::CallOutcome::Builder wire, const CallOutcome &outcome);
 void write(Wire::Catalog::Builder wire, const Catalog &catalog);
-void write(Wire::QuarantineNews::Builder wire, const QuarantineNews &news);
+void write(Wire::QuarantineNews::Builder wire, const QuarantineUpdate &update);
 
 [[nodiscard]] NodeIdentity read(Wire::Identity::Reader wire);
 [[nodiscard]] LoadReport read(Wire::LoadReport::Reader wire);
@@ -24,7 +24,7 @@
 [[nodiscard]] AnswerHead read(Wire::AnswerHead::Reader wire);
 [[nodiscard]] CallOutcome read(Wire::CallOutcome::Reader wire);
 [[nodiscard]] Catalog read(Wire::Catalog::Reader wire);
-[[nodiscard]] QuarantineNews read(Wire::QuarantineNews::Reader wire);
+[[nodiscard]] QuarantineUpdate read(Wire::QuarantineNews::Reader wire);
 /// Of a store that is not in order.
 [[nodiscard]] StoreState readStoreState(std::uint8_t wire);
 [[nodiscard]] std::string readText(capnp::Text::Reader wire);
--- a/src/sidecar/catalogcontents.cpp
+++ b/src/sidecar/catalogcontents.cpp
@@ -18,36 +18,36 @@
 {
 }
 
-CatalogMark CatalogContents::mark() const
+CatalogVersions CatalogContents::versions() const
 {
-    CatalogMark mark;
+    CatalogVersions versions;
     if (state_.routes) {
-        mark.routes = state_.routes->version();
+        versions.routes = state_.routes->version();
     }
     if (state_.directory.hasList()) {
-        mark.list = state_.directory.revision();
+        versions.list = state_.directory.revision();
     }
-    return mark;
+    return versions;
 }
 
-bool CatalogContents::isBehind(const CatalogMark &mark) const
+bool CatalogContents::isBehind(const CatalogVersions &versions) const
 {
-    const CatalogMark has = this->mark();
-    return has.routes < mark.routes || has.list < mark.list;
+    const CatalogVersions has = this->versions();
+    return has.routes < versions.routes || has.list < versions.list;
 }
 
-bool CatalogContents::hasNewsFor(const CatalogMark &have) const
+bool CatalogContents::hasNewsFor(const CatalogVersions &have) const
 {
-    const CatalogMark has = mark();
+    const CatalogVersions has = versions();
     const bool needsAll = have.routes.value() == 0 && have.list.value() == 0;
     const bool newerRoutes = has.routes > have.routes;
     const bool newerList = has.list > have.list;
     return needsAll ? newerRoutes && newerList : newerRoutes || newerList;
 }
 
-void CatalogContents::writeNews(const CatalogMark &have, Catalog &catalog) const
+void CatalogContents::writeNews(const CatalogVersions &have, Catalog &catalog) const
 {
-    catalog.has = mark();
+    catalog.has = versions();
     if (catalog.has.routes > have.routes) {
         catalog.routes = state_.packedRoutes;
         catalog.routesAge = timeSince(routesReadAt_);
@@ -63,7 +63,7 @@
 void CatalogContents::takeRoutesRead(PublishedRoutes routes)
 {
     // A stale read must not take back what is in force.
-    if (routes.table->version() <= mark().routes) {
+    if (routes.table->version() <= versions().routes) {
         return;
     }
     NewsOrigin origin;
@@ -74,7 +74,7 @@
 void CatalogContents::takeRoutes(const Endpoint &peer, const Catalog &catalog)
 {
     // Reading many routes takes a small VM long.
-    if (catalog.routes.empty() || catalog.has.routes <= mark().routes) {
+    if (catalog.routes.empty() || catalog.has.routes <= versions().routes) {
         return;
     }
     Result<std::string> text = unpackRoutes(catalog.routes);
@@ -85,7 +85,7 @@
         return;
     }
     // What the peer says that it has is not proof of it.
-    if (routes.value().table->version() > mark().routes) {
+    if (routes.value().table->version() > versions().routes) {
         putInForce(std::move(routes.value().table), catalog.routes,
                    {peer.value(), catalog.routesAge, catalog.routes.bytes.size()});
     }
@@ -93,7 +93,7 @@
 
 void CatalogContents::putInForce(RouteTablePointer table, PackedRoutes packed, const NewsOrigin &origin)
 {
-    log_.routesInForce(*table, mark().routes, origin);
+    log_.routesInForce(*table, versions().routes, origin);
     routesReadAt_ = currentTime() - origin.age;
     state_.routes = std::move(table);
     state_.packedRoutes = std::move(packed);
@@ -112,15 +112,15 @@
 
 bool CatalogContents::take(const Endpoint &peer, const Catalog &catalog)
 {
-    const RouteVersion before = mark().routes;
+    const RouteVersion before = versions().routes;
     takeRoutes(peer, catalog);
     const bool listIsNew = takeList(peer, catalog);
-    return listIsNew || before < mark().routes;
+    return listIsNew || before < versions().routes;
 }
 
 bool CatalogContents::takeList(const Endpoint &peer, const Catalog &catalog)
 {
-    if (catalog.has.list <= mark().list) {
+    if (catalog.has.list <= versions().list) {
         return false;
     }
     const NewsOrigin origin{peer.value(), catalog.listAge};
--- a/src/sidecar/catalogcontents.h
+++ b/src/sidecar/catalogcontents.h
@@ -32,12 +32,12 @@
     /// Drops held records whose time is over.
     void expire();
 
-    [[nodiscard]] CatalogMark mark() const;
-    [[nodiscard]] bool isBehind(const CatalogMark &mark) const;
+    [[nodiscard]] CatalogVersions versions() const;
+    [[nodiscard]] bool isBehind(const CatalogVersions &versions) const;
     /// Whether there is anything for an asker that has @p have; one that has nothing needs all.
-    [[nodiscard]] bool hasNewsFor(const CatalogMark &have) const;
+    [[nodiscard]] bool hasNewsFor(const CatalogVersions &have) const;
     /// Writes what an asker that has @p have lacks.
-    void writeNews(const CatalogMark &have, Catalog &catalog) const;
+    void writeNews(const CatalogVersions &have, Catalog &catalog) const;
     /// Whether upstreams vanish with @p catalog that did not say that they leave.
     [[nodiscard]] bool removesSilently(const Catalog &catalog) const;
 
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -52,12 +52,12 @@
 {
     SeedInquirer inquirer;
     inquirer.ask = [this](Endpoint seed) {
-        const CatalogRequest wanted = request(times_.seedWait, StoreState::InOrder);
+        const CatalogRequest wanted = request(times_.seedWait, StoreState::Available);
         return ask(std::move(seed), wanted, times_.seedWait + times_.followMargin);
     };
     inquirer.take = [this](const Endpoint &seed, const Catalog &catalog) { followIfComplete(seed, catalog); };
     inquirer.follows = [this] { return plan_.following().has_value(); };
-    inquirer.hasRoutes = [this] { return contents_.mark().routes.value() > 0; };
+    inquirer.hasRoutes = [this] { return contents_.versions().routes.value() > 0; };
     return inquirer;
 }
 
@@ -101,24 +101,24 @@
         co_await news_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
     Catalog catalog;
-    catalog.store = state_.directory.hasList() ? storeState() : StoreState::Away;
+    catalog.store = state_.directory.hasList() ? storeState() : StoreState::Unavailable;
     catalog.hops = plan_.hops();
     catalog.reader = plan_.reader();
     catalog.storeAge = plan_.age(currentTime());
     catalog.storeAvailableFor = plan_.storeAvailableFor(currentTime());
-    catalog.quarantine = state_.quarantine.mark();
+    catalog.quarantine = state_.quarantine.digest();
     catalog.held = timeSince(asked);
     contents_.writeNews(request.have, catalog);
     co_return catalog;
 }
 
-void CatalogController::noteMark(const Endpoint &peer, const CatalogMark &mark)
+void CatalogController::recordVersions(const Endpoint &peer, const CatalogVersions &versions)
 {
-    if (!contents_.isBehind(mark)) {
+    if (!contents_.isBehind(versions)) {
         return;
     }
     const TimePoint since = ahead_ ? ahead_->since : currentTime();
-    ahead_ = Ahead{peer, mark, since};
+    ahead_ = Ahead{peer, versions, since};
 }
 
 void CatalogController::routesRead(PublishedRoutes routes)
@@ -202,8 +202,8 @@
     log_.reads(shouldRead);
     if (shouldRead && !reads) {
         plan_.beginReading(currentTime());
-        const bool sparing = wanted == StoreReading::Standby;
-        source_.resume(state_.directory.revision(), true, sparing ? times_.standbyInterval : times_.readerPause);
+        const bool standby = wanted == StoreReading::Standby;
+        source_.resume(state_.directory.revision(), true, standby ? times_.standbyInterval : times_.readerPause);
     } else if (reads && !shouldRead) {
         source_.suspend();
     }
@@ -223,7 +223,7 @@
         if (plan_.wantsStoreProbe(currentTime())) {
             co_await look();
         }
-        if (ahead_ && !contents_.isBehind(ahead_->mark)) {
+        if (ahead_ && !contents_.isBehind(ahead_->versions)) {
             ahead_.reset();
         }
         if (ahead_ && currentTime() - ahead_->since >= times_.aheadBeforeAsking) {
@@ -274,15 +274,15 @@
 {
     asio::steady_timer timer(executor_);
     while (true) {
-        std::optional<SourceQuery> question;
+        std::optional<SourceQuery> query;
         if (state_.directory.hasList()) {
-            question = plan_.nextQuery(currentTime());
+            query = plan_.nextQuery(currentTime());
             applyReading();
         }
         // Not one expression: g++ 12 destroys the temporaries of a co_await in a branch that was not taken.
         bool goesOn = false;
-        if (question) {
-            goesOn = co_await askOnce(std::move(*question));
+        if (query) {
+            goesOn = co_await askOnce(std::move(*query));
         }
         if (!goesOn) {
             timer.expires_after(times_.followPause);
@@ -291,23 +291,23 @@
     }
 }
 
-asio::awaitable<bool> CatalogController::askOnce(SourceQuery question)
+asio::awaitable<bool> CatalogController::askOnce(SourceQuery query)
 {
     const std::optional<Endpoint> before = plan_.following();
     const TimePoint asked = currentTime();
     const Result<Catalog> catalog =
-        co_await ask(question.node, request(question.wait, question.known), question.wait + times_.followMargin);
+        co_await ask(query.node, request(query.wait, query.known), query.wait + times_.followMargin);
     if (!catalog) {
-        plan_.silent(question.node, currentTime());
+        plan_.silent(query.node, currentTime());
         logFollowing(before, catalog.error().detail);
         applyReading();
         // Another source is asked at once.
         co_return currentTime() - asked >= times_.followPause;
     }
     co_await checkOwnWay(catalog.value());
-    const CatalogMark had = contents_.mark();
-    takeAnswer(question.node, catalog.value());
-    const bool brought = had.routes < contents_.mark().routes || had.list < contents_.mark().list;
+    const CatalogVersions had = contents_.versions();
+    takeAnswer(query.node, catalog.value());
+    const bool brought = had.routes < contents_.versions().routes || had.list < contents_.versions().list;
     const bool isNew = before != plan_.following();
     // An answer that came at once and brought nothing, as when its routes can't be read here, would come again at once.
     co_return brought || isNew || currentTime() - asked >= times_.followPause;
@@ -321,13 +321,13 @@
     const TimePoint lastStoreAvailable = plan_.lastStoreAvailable();
     plan_.answered(peer, reportOf(catalog), now);
     logFollowing(before, "another node can read the platform");
-    const bool settles = catalog.store == StoreState::Settling && plan_.following() == peer;
+    const bool settles = catalog.store == StoreState::Recovering && plan_.following() == peer;
     if (settles && !storeIsLost_ && !state_.directory.holdsRemovals(now)) {
         // What lapsed while the store was away may be removed by what this answer brings.
         state_.directory.storeLost(lastStoreAvailable);
         state_.directory.storeBack(now);
     }
-    if (catalog.store == StoreState::InOrder && plan_.following() == peer) {
+    if (catalog.store == StoreState::Available && plan_.following() == peer) {
         noteStoreRead(catalog);
     }
     applyReading();
@@ -361,7 +361,7 @@
 /// cut off and goes on using them; one that follows a node outside has to find out.
 asio::awaitable<void> CatalogController::checkOwnWay(const Catalog &catalog)
 {
-    const bool othersRead = catalog.store != StoreState::Away;
+    const bool othersRead = catalog.store != StoreState::Unavailable;
     const bool removes = !catalog.changes.empty() && contents_.removesSilently(catalog);
     if (!othersRead || storeIsLost_ != isCutOff_ || (!isCutOff_ && !removes)) {
         co_return;
@@ -390,7 +390,7 @@
 
 CatalogRequest CatalogController::request(Milliseconds wait, StoreState known) const
 {
-    return {contents_.mark(), wait, known};
+    return {contents_.versions(), wait, known};
 }
 
 asio::awaitable<Result<Catalog>> CatalogController::ask(Endpoint peer, CatalogRequest request, Milliseconds limit)
@@ -415,15 +415,15 @@
 {
     for (const Endpoint &peer : peersToAsk()) {
         const Result<Catalog> catalog =
-            co_await ask(peer, request(Milliseconds{0}, StoreState::InOrder), times_.peerLimit);
+            co_await ask(peer, request(Milliseconds{0}, StoreState::Available), times_.peerLimit);
         if (!catalog) {
             continue;
         }
-        const bool inOrder = catalog.value().store == StoreState::InOrder;
+        const bool storeAvailable = catalog.value().store == StoreState::Available;
         if (plan_.ownLostSince() || !state_.isReady()) {
-            state_.directory.storeSeenInOrder(inOrder);
+            state_.directory.storeSeenInOrder(storeAvailable);
         }
-        if (inOrder) {
+        if (storeAvailable) {
             noteStoreRead(catalog.value());
         }
         if (begun_) {
@@ -438,7 +438,8 @@
 asio::awaitable<void> CatalogController::catchUp()
 {
     const Endpoint peer = std::exchange(ahead_, std::nullopt)->peer;
-    const Result<Catalog> catalog = co_await ask(peer, request(Milliseconds{0}, StoreState::InOrder), times_.peerLimit);
+    const Result<Catalog> catalog =
+        co_await ask(peer, request(Milliseconds{0}, StoreState::Available), times_.peerLimit);
     if (!catalog || !take(peer, catalog.value())) {
         co_return;
     }
--- a/src/sidecar/catalogcontroller.h
+++ b/src/sidecar/catalogcontroller.h
@@ -37,13 +37,13 @@
     /// What this node has and the asker lacks; see PeerService::catalog().
     [[nodiscard]] boost::asio::awaitable<Catalog> answer(CatalogRequest request);
     /// What this node has.
-    [[nodiscard]] CatalogMark mark() const { return contents_.mark(); }
+    [[nodiscard]] CatalogVersions versions() const { return contents_.versions(); }
     /// For operators: the node that is followed, "platform", or "lost".
     [[nodiscard]] std::string sourceName() const;
     [[nodiscard]] bool readsStore() const { return reading_ != StoreReading::None; }
     [[nodiscard]] StoreState storeState() const;
     /// @p peer has said in an answer what it has.
-    void noteMark(const Endpoint &peer, const CatalogMark &mark);
+    void recordVersions(const Endpoint &peer, const CatalogVersions &versions);
     /// Calls @p listener with what each answer of another node says that it refuses.
     void onQuarantineDigest(std::function<void(const Endpoint &, QuarantineDigest)> listener)
     {
@@ -65,7 +65,7 @@
     struct Ahead
     {
         Endpoint peer;
-        CatalogMark mark;
+        CatalogVersions versions;
         TimePoint since;
     };
 
@@ -76,7 +76,7 @@
     void followIfComplete(const Endpoint &peer, const Catalog &catalog);
     boost::asio::awaitable<void> followOthers();
     /// Returns whether to go on at once.
-    boost::asio::awaitable<bool> askOnce(SourceQuery question);
+    boost::asio::awaitable<bool> askOnce(SourceQuery query);
     /// Before changes are taken that remove upstreams which did not say that they leave.
     boost::asio::awaitable<void> checkOwnWay(const Catalog &catalog);
     /// Now and then, while others say that the store is away.
--- a/src/sidecar/quarantinecontroller.cpp
+++ b/src/sidecar/quarantinecontroller.cpp
@@ -67,11 +67,11 @@
         return;
     }
     const TimePoint now = currentTime();
-    const UpstreamCrash seen{crash, ends_.flaps(crash, state_.quarantine, now)};
-    ends_.record(crash, requests, now);
-    const CrashResult news = state_.quarantine.crashed(seen, requests, now);
-    tellKeepers(news.known);
-    noteRefused(news.refused, "own upstream");
+    const UpstreamCrash seen{crash, exits_.flaps(crash, state_.quarantine, now)};
+    exits_.record(crash, requests, now);
+    const CrashResult result = state_.quarantine.crashed(seen, requests, now);
+    tellKeepers(result.known);
+    noteRefused(result.refused, "own upstream");
 }
 
 void QuarantineController::tellKeepers(const std::vector<SuspectedRequest> &known)
@@ -89,9 +89,9 @@
     asio::steady_timer timer(executor_);
     Duration pause = RetryPause;
     for (int attempt = 0; attempt < TellTries; ++attempt) {
-        QuarantineNews news = newsOf(requests);
-        const Result<QuarantineNews> answer =
-            co_await peers_.quarantine(node, std::move(news), currentTime() + AnswerLimit);
+        QuarantineUpdate update = updateOf(requests);
+        const Result<QuarantineUpdate> answer =
+            co_await peers_.quarantine(node, std::move(update), currentTime() + AnswerLimit);
         if (answer) {
             take(answer.value().requests, node.value());
             co_return;
@@ -141,21 +141,21 @@
     }
 }
 
-QuarantineNews QuarantineController::answer(const QuarantineNews &news)
+QuarantineUpdate QuarantineController::answer(const QuarantineUpdate &update)
 {
     const TimePoint now = currentTime();
-    take(news.requests, "another node");
-    std::vector<SuspectedRequest> more = state_.quarantine.moreThan(news.requests, now);
-    if (news.mark != state_.quarantine.mark()) {
+    take(update.requests, "another node");
+    std::vector<SuspectedRequest> more = state_.quarantine.moreThan(update.requests, now);
+    if (update.digest != state_.quarantine.digest()) {
         const std::vector<SuspectedRequest> refused = state_.quarantine.refused(now);
         more.insert(more.end(), refused.begin(), refused.end());
     }
-    return newsOf(std::move(more));
+    return updateOf(std::move(more));
 }
 
-void QuarantineController::noteMark(const Endpoint &peer, QuarantineDigest mark)
+void QuarantineController::recordDigest(const Endpoint &peer, QuarantineDigest digest)
 {
-    const bool isSettled = mark == state_.quarantine.mark();
+    const bool isSettled = digest == state_.quarantine.digest();
     if (isSettled || exchanging_ || currentTime() < nextExchange_) {
         return;
     }
@@ -165,13 +165,13 @@
 
 asio::awaitable<void> QuarantineController::exchange(Endpoint peer)
 {
-    QuarantineNews news = newsOf(state_.quarantine.refused(currentTime()));
-    const Result<QuarantineNews> answer =
-        co_await peers_.quarantine(peer, std::move(news), currentTime() + AnswerLimit);
+    QuarantineUpdate update = updateOf(state_.quarantine.refused(currentTime()));
+    const Result<QuarantineUpdate> answer =
+        co_await peers_.quarantine(peer, std::move(update), currentTime() + AnswerLimit);
     if (answer) {
         take(answer.value().requests, peer.value());
     }
-    const bool isSettled = answer && answer.value().mark == state_.quarantine.mark();
+    const bool isSettled = answer && answer.value().digest == state_.quarantine.digest();
     exchangePause_ = isSettled ? LeastExchangePause : std::min<Duration>(exchangePause_ * 2, LongestExchangePause);
     nextExchange_ = currentTime() + exchangePause_;
     exchanging_ = false;
@@ -187,9 +187,9 @@
     }
 }
 
-QuarantineNews QuarantineController::newsOf(std::vector<SuspectedRequest> requests)
+QuarantineUpdate QuarantineController::updateOf(std::vector<SuspectedRequest> requests)
 {
-    return {state_.quarantine.mark(), spread_.inOneMessage(std::move(requests))};
+    return {state_.quarantine.digest(), spread_.inOneMessage(std::move(requests))};
 }
 
 std::string QuarantineController::page() const
--- a/src/sidecar/quarantinecontroller.h
+++ b/src/sidecar/quarantinecontroller.h
@@ -35,9 +35,9 @@
     /// The upstream beside this node has ended with @p held under way.
     void upstreamExited(UpstreamCrashId crash, const std::vector<HeldRequest> &held);
     /// See PeerService::quarantine().
-    [[nodiscard]] QuarantineNews answer(const QuarantineNews &news);
+    [[nodiscard]] QuarantineUpdate answer(const QuarantineUpdate &update);
     /// @p peer has said in an answer which requests it refuses.
-    void noteMark(const Endpoint &peer, QuarantineDigest mark);
+    void recordDigest(const Endpoint &peer, QuarantineDigest digest);
     /// The requests that are refused, for operators: one line each.
     [[nodiscard]] std::string page() const;
 
@@ -52,14 +52,14 @@
     boost::asio::awaitable<void> passOnAt(TimePoint due);
     boost::asio::awaitable<void> exchange(Endpoint peer);
     boost::asio::awaitable<void> expireOldOnes();
-    [[nodiscard]] QuarantineNews newsOf(std::vector<SuspectedRequest> requests);
+    [[nodiscard]] QuarantineUpdate updateOf(std::vector<SuspectedRequest> requests);
 
     boost::asio::any_io_executor executor_;
     SidecarState &state_;
     PeerClient &peers_;
     std::function<void()> changed_;
     QuarantineSpread spread_;
-    UpstreamExits ends_;
+    UpstreamExits exits_;
     bool exchanging_ = false;
     TimePoint nextExchange_;
     Duration exchangePause_;
--- a/src/sidecar/seedinquiry.cpp
+++ b/src/sidecar/seedinquiry.cpp
@@ -76,7 +76,7 @@
     if (!isFirst || !catalog) {
         co_return;
     }
-    saidAway_ = saidAway_ || catalog.value().store == StoreState::Away;
+    saidAway_ = saidAway_ || catalog.value().store == StoreState::Unavailable;
     inquirer_.take(seed, catalog.value());
 }
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -115,11 +115,11 @@
             peers_.setPaidLinks([this](const Endpoint &peer) { return isInOtherRegion(peer); });
         }
         ingress_.onOutcome([this](const Endpoint &peer, const CallOutcome &outcome) {
-            catalog_.noteMark(peer, outcome.catalog);
-            quarantine_.noteMark(peer, outcome.quarantine);
+            catalog_.recordVersions(peer, outcome.catalog);
+            quarantine_.recordDigest(peer, outcome.quarantine);
         });
         catalog_.onQuarantineDigest(
-            [this](const Endpoint &peer, QuarantineDigest mark) { quarantine_.noteMark(peer, mark); });
+            [this](const Endpoint &peer, QuarantineDigest digest) { quarantine_.recordDigest(peer, digest); });
         egress_.onUpstreamExit([this](UpstreamCrashId crash, const std::vector<HeldRequest> &held) {
             quarantine_.upstreamExited(crash, held);
         });
@@ -192,13 +192,13 @@
     {
         CallOutcome outcome =
             co_await egress_.call(std::move(head), std::move(body), std::move(answer), std::move(cancellation));
-        outcome.catalog = catalog_.mark();
-        outcome.quarantine = state_.quarantine.mark();
+        outcome.catalog = catalog_.versions();
+        outcome.quarantine = state_.quarantine.digest();
         co_return outcome;
     }
     PeerProbe probe() override { return {state_.self, egress_.report(RouteName())}; }
     asio::awaitable<Catalog> catalog(CatalogRequest request) override { return catalog_.answer(request); }
-    QuarantineNews quarantine(const QuarantineNews &news) override { return quarantine_.answer(news); }
+    QuarantineUpdate quarantine(const QuarantineUpdate &update) override { return quarantine_.answer(update); }
 
 private:
     Result<void> listenForPeers()
@@ -287,12 +287,12 @@
 
     [[nodiscard]] std::string statusText() const
     {
-        const CatalogMark mark = catalog_.mark();
+        const CatalogVersions versions = catalog_.versions();
         const boost::json::object status{{"node", state_.settings.name},
                                          {"incarnation", std::to_string(state_.self.incarnation.value())},
                                          {"ready", state_.isReady()},
-                                         {"routes", mark.routes.value()},
-                                         {"list", mark.list.value()},
+                                         {"routes", versions.routes.value()},
+                                         {"list", versions.list.value()},
                                          {"source", catalog_.sourceName()},
                                          {"reads", catalog_.readsStore()},
                                          {"store", toString(catalog_.storeState())},
@@ -341,7 +341,7 @@
             if (!isIdle()) {
                 lastBusy = currentTime();
             }
-            egress_.setLeaving(currentTime() >= least);
+            egress_.setDraining(currentTime() >= least);
             timer.expires_after(StopStep);
             co_await timer.async_wait(asio::use_awaitable);
         }
--- a/tests/egress/upstreamexitmonitortest.cpp
+++ b/tests/egress/upstreamexitmonitortest.cpp
@@ -30,13 +30,13 @@
         : server(std::make_unique<HttpServer>(loop.executor(), HttpLimits(), answerNothing))
         , upstream(server->listen(Endpoint("127.0.0.1:0")).value())
         , pool(loop.executor(), HttpPoolLimits())
-        , watch(loop.executor(), pool, upstream, Random(1),
-                [this](UpstreamCrashId crash, const std::vector<HeldRequest> &requests) {
-                    crashes.insert(crash.value());
-                    for (const HeldRequest &request : requests) {
-                        names.insert(request.request.value());
-                    }
-                })
+        , monitor(loop.executor(), pool, upstream, Random(1),
+                  [this](UpstreamCrashId crash, const std::vector<HeldRequest> &requests) {
+                      crashes.insert(crash.value());
+                      for (const HeldRequest &request : requests) {
+                          names.insert(request.request.value());
+                      }
+                  })
     {
     }
 
@@ -53,7 +53,7 @@
     HttpConnectionPool pool;
     std::set<std::uint64_t> crashes;
     std::set<std::string> names;
-    UpstreamExitMonitor watch;
+    UpstreamExitMonitor monitor;
 };
 
 }
@@ -63,7 +63,7 @@
 {
     Watched watched;
     watched.loop.run([&]() -> asio::awaitable<void> {
-        watched.watch.connectionBroke(held("reset"));
+        watched.monitor.connectionBroke(held("reset"));
         co_await watched.loop.sleep(Milliseconds(30));
     });
     CHECK(watched.crashes.empty());
@@ -74,10 +74,10 @@
     Watched watched;
     watched.loop.run([&]() -> asio::awaitable<void> {
         watched.end();
-        watched.watch.connectionBroke(held("first"));
-        watched.watch.connectionBroke(held("second"));
+        watched.monitor.connectionBroke(held("first"));
+        watched.monitor.connectionBroke(held("second"));
         co_await watched.loop.sleep(Milliseconds(30));
-        watched.watch.connectionBroke(held("a moment later"));
+        watched.monitor.connectionBroke(held("a moment later"));
         co_await watched.loop.sleep(Milliseconds(30));
     });
     CHECK(watched.crashes.size() == 1);
@@ -89,13 +89,13 @@
     Watched watched;
     watched.loop.run([&]() -> asio::awaitable<void> {
         watched.end();
-        watched.watch.connectionBroke(held("first"));
+        watched.monitor.connectionBroke(held("first"));
         co_await watched.loop.sleep(Milliseconds(300));
         watched.restart();
-        watched.watch.connectionBroke(held("bystander"));
+        watched.monitor.connectionBroke(held("bystander"));
         co_await watched.loop.sleep(Milliseconds(30));
         watched.end();
-        watched.watch.connectionBroke(held("second"));
+        watched.monitor.connectionBroke(held("second"));
         co_await watched.loop.sleep(Milliseconds(30));
     });
     CHECK(watched.crashes.size() == 2);
--- a/tests/instances/catalogfleet.cpp
+++ b/tests/instances/catalogfleet.cpp
@@ -49,54 +49,54 @@
         return;
     }
     Node &node = *nodes_[number];
-    const auto question = node.plan.nextQuery(now());
+    const auto query = node.plan.nextQuery(now());
     applyReading(number);
     if (node.plan.wantsStoreProbe(now())) {
         look(number);
     }
-    if (question) {
-        ask(number, *question);
+    if (query) {
+        ask(number, *query);
     } else {
         time_.at(now() + PlanStep, [this, number] { step(number); });
     }
 }
 
-void CatalogFleet::ask(int asker, const SourceQuery &question)
+void CatalogFleet::ask(int asker, const SourceQuery &query)
 {
-    const int source = numbers_.at(question.node);
+    const int source = numbers_.at(query.node);
     if (dead_.contains(source)) {
-        time_.at(now() + question.wait + times_.followMargin, [this, asker, question] {
-            nodes_[asker]->plan.silent(question.node, now());
+        time_.at(now() + query.wait + times_.followMargin, [this, asker, query] {
+            nodes_[asker]->plan.silent(query.node, now());
             time_.at(now(), [this, asker] { step(asker); });
         });
         return;
     }
     const std::uint64_t had = nodes_[asker]->has;
     const TimePoint arrival = now() + oneWay(asker, source);
-    time_.at(arrival, [this, asker, source, question, had, arrival] {
-        answerWhenNews(asker, source, question, had, arrival + question.wait);
+    time_.at(arrival, [this, asker, source, query, had, arrival] {
+        answerWhenNews(asker, source, query, had, arrival + query.wait);
     });
 }
 
-void CatalogFleet::answerWhenNews(int asker, int source, SourceQuery question, std::uint64_t had, TimePoint end)
+void CatalogFleet::answerWhenNews(int asker, int source, SourceQuery query, std::uint64_t had, TimePoint end)
 {
     constexpr Milliseconds Look{5};
     const Node &node = *nodes_[source];
-    const bool news = node.has > had || node.plan.store(now(), false) != question.known;
+    const bool news = node.has > had || node.plan.store(now(), false) != query.known;
     if (!news && now() < end) {
         time_.at(std::min<TimePoint>(now() + Look, end),
-                 [this, asker, source, question, had, end] { answerWhenNews(asker, source, question, had, end); });
+                 [this, asker, source, query, had, end] { answerWhenNews(asker, source, query, had, end); });
         return;
     }
     const SourceReport report = reportOf(source);
     const std::uint64_t has = node.has;
-    time_.at(now() + oneWay(source, asker), [this, asker, question, report, has] {
+    time_.at(now() + oneWay(source, asker), [this, asker, query, report, has] {
         Node &node = *nodes_[asker];
-        node.plan.answered(question.node, report, now());
+        node.plan.answered(query.node, report, now());
         node.has = std::max(node.has, has);
         applyReading(asker);
         // As the controller does after an answer that brought nothing.
-        time_.at(now() + (question.wait.count() > 0 ? Milliseconds{1} : PlanStep), [this, asker] { step(asker); });
+        time_.at(now() + (query.wait.count() > 0 ? Milliseconds{1} : PlanStep), [this, asker] { step(asker); });
     });
 }
 
--- a/tests/instances/catalogfleet.h
+++ b/tests/instances/catalogfleet.h
@@ -57,9 +57,9 @@
     };
 
     void step(int number);
-    void ask(int asker, const SourceQuery &question);
+    void ask(int asker, const SourceQuery &query);
     /// The one asked answers when it has news or its time is over.
-    void answerWhenNews(int asker, int source, SourceQuery question, std::uint64_t had, TimePoint end);
+    void answerWhenNews(int asker, int source, SourceQuery query, std::uint64_t had, TimePoint end);
     void applyReading(int number);
     void readStore(int number, std::uint64_t round);
     void look(int number);
--- a/tests/instances/catalogplantest.cpp
+++ b/tests/instances/catalogplantest.cpp
@@ -85,11 +85,11 @@
     fleet.runUntil(fleet.now() + Calm);
     fleet.setStore(nobody);
     fleet.runUntil(fleet.now() + CatalogTimes().provenFor + Milliseconds(1000));
-    CHECK(fleet.nodesThatSay(StoreState::Away) == 295);
+    CHECK(fleet.nodesThatSay(StoreState::Unavailable) == 295);
     fleet.publish();
     fleet.setStore(everybody);
     fleet.runUntil(fleet.now() + Milliseconds(2500));
-    CHECK(fleet.nodesThatSay(StoreState::InOrder) == 295);
+    CHECK(fleet.nodesThatSay(StoreState::Available) == 295);
     CHECK(fleet.nodesUpToDate() == 295);
     CHECK(fleet.nodesThatRead() == 6);
 }
@@ -153,13 +153,13 @@
     CatalogPlan plan = planOfOnlyNode();
     const TimePoint now = TimePoint() + std::chrono::seconds(10);
     CHECK(plan.reading() == StoreReading::Usual);
-    CHECK(plan.store(now, false) == StoreState::Away);
+    CHECK(plan.store(now, false) == StoreState::Unavailable);
     plan.recordStoreRead(now);
-    CHECK(plan.store(now, false) == StoreState::InOrder);
+    CHECK(plan.store(now, false) == StoreState::Available);
     plan.beginReading(now);
-    CHECK(plan.store(now, false) == StoreState::Away);
+    CHECK(plan.store(now, false) == StoreState::Unavailable);
     plan.ownReadingBack(now);
-    CHECK(plan.store(now, false) == StoreState::InOrder);
+    CHECK(plan.store(now, false) == StoreState::Available);
 }
 
 // Guards against a node that heard of a store that is away, then hears nobody, and waits for somebody to tell it the
--- a/tests/quarantine/quarantinefleet.cpp
+++ b/tests/quarantine/quarantinefleet.cpp
@@ -61,7 +61,7 @@
 void QuarantineFleet::call(std::size_t from)
 {
     const std::size_t to = random_() % nodes_.size();
-    const bool differ = nodes_[from].quarantine.mark() != nodes_[to].quarantine.mark();
+    const bool differ = nodes_[from].quarantine.digest() != nodes_[to].quarantine.digest();
     if (differ && hears(from, to)) {
         tell(from, nodes_[to].address, nodes_[from].quarantine.refused(now()));
         tell(to, nodes_[from].address, nodes_[to].quarantine.refused(now()));
@@ -77,15 +77,15 @@
 void QuarantineFleet::crash(std::size_t node, const std::vector<RequestFingerprint> &held)
 {
     const UpstreamCrashId id(random_());
-    const UpstreamCrash crash{id, nodes_[node].ends.flaps(id, nodes_[node].quarantine, now())};
-    nodes_[node].ends.record(id, held, now());
-    const CrashResult news = nodes_[node].quarantine.crashed(crash, held, now());
+    const UpstreamCrash crash{id, nodes_[node].exits.flaps(id, nodes_[node].quarantine, now())};
+    nodes_[node].exits.record(id, held, now());
+    const CrashResult result = nodes_[node].quarantine.crashed(crash, held, now());
     for (const Endpoint &keeper : nodes_[node].spread.keepers(directory_, ServiceName("crashing"))) {
         if (keeper != nodes_[node].address) {
-            tell(node, keeper, news.known);
+            tell(node, keeper, result.known);
         }
     }
-    passOn(node, news.refused);
+    passOn(node, result.refused);
 }
 
 void QuarantineFleet::tell(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests)
--- a/tests/quarantine/quarantinefleet.h
+++ b/tests/quarantine/quarantinefleet.h
@@ -57,7 +57,7 @@
     {
         Quarantine quarantine;
         QuarantineSpread spread;
-        UpstreamExits ends;
+        UpstreamExits exits;
         std::size_t region = 0;
         Endpoint address;
     };
--- a/tests/quarantine/quarantinetest.cpp
+++ b/tests/quarantine/quarantinetest.cpp
@@ -30,10 +30,10 @@
     Quarantine quarantine;
     CHECK(quarantine.crashed({UpstreamCrashId(1)}, {request(1), request(2)}, Start).refused.empty());
     CHECK_FALSE(quarantine.rejection(request(1), Start));
-    const CrashResult news = quarantine.crashed({UpstreamCrashId(2)}, {request(1), request(3)}, Start);
-    REQUIRE(news.refused.size() == 1);
-    CHECK(news.refused[0].fingerprint == request(1));
-    CHECK(news.known.size() == 2);
+    const CrashResult result = quarantine.crashed({UpstreamCrashId(2)}, {request(1), request(3)}, Start);
+    REQUIRE(result.refused.size() == 1);
+    CHECK(result.refused[0].fingerprint == request(1));
+    CHECK(result.known.size() == 2);
     const auto rejection = quarantine.rejection(request(1), Start + std::chrono::hours(1));
     REQUIRE(rejection);
     CHECK(rejection->verdict == Verdict::NotRun);
@@ -58,13 +58,13 @@
 {
     Quarantine one;
     Quarantine other;
-    CHECK(one.mark() == QuarantineDigest());
+    CHECK(one.digest() == QuarantineDigest());
     (void)one.take({told(1, 1), told(1, 2), told(2, 1), told(2, 3)}, Start);
     (void)other.take({told(2, 3), told(3, 9), told(1, 2), told(2, 1), told(1, 1)}, Start);
-    CHECK(one.mark() == other.mark());
-    CHECK(one.mark() != QuarantineDigest());
+    CHECK(one.digest() == other.digest());
+    CHECK(one.digest() != QuarantineDigest());
     one.expire(Start + std::chrono::hours(25));
-    CHECK(one.mark() == QuarantineDigest());
+    CHECK(one.digest() == QuarantineDigest());
     CHECK(one.refusesNone());
 }
 
@@ -135,18 +135,18 @@
 TEST_CASE("an upstream flaps once two of its ends lately have no request to blame")
 {
     Quarantine quarantine;
-    UpstreamExits ends;
+    UpstreamExits exits;
     const auto endsWith = [&](std::uint64_t crash, int held) {
-        const bool flaps = ends.flaps(UpstreamCrashId(crash), quarantine, Start);
-        ends.record(UpstreamCrashId(crash), {request(held)}, Start);
+        const bool flaps = exits.flaps(UpstreamCrashId(crash), quarantine, Start);
+        exits.record(UpstreamCrashId(crash), {request(held)}, Start);
         return flaps;
     };
     CHECK_FALSE(endsWith(1, 1));
     CHECK_FALSE(endsWith(2, 2));
     // Told in two parts, it is one end.
-    CHECK_FALSE(ends.flaps(UpstreamCrashId(2), quarantine, Start));
+    CHECK_FALSE(exits.flaps(UpstreamCrashId(2), quarantine, Start));
     CHECK(endsWith(3, 3));
     (void)quarantine.take({told(1, 1), told(1, 9), told(2, 2), told(2, 9)}, Start);
     CHECK_FALSE(endsWith(4, 4));
-    CHECK_FALSE(ends.flaps(UpstreamCrashId(5), quarantine, Start + std::chrono::minutes(3)));
+    CHECK_FALSE(exits.flaps(UpstreamCrashId(5), quarantine, Start + std::chrono::minutes(3)));
 }
--- a/tests/routing/placementtest.cpp
+++ b/tests/routing/placementtest.cpp
@@ -20,12 +20,12 @@
     return TimePoint(std::chrono::seconds(1000)) + Milliseconds(milliseconds);
 }
 
-LoadReport reportOf(double pace)
+LoadReport reportOf(double slowdown)
 {
     LoadReport report;
     report.serviceTimeMicroseconds = 100'000;
     report.meanServiceMicroseconds = 100'000;
-    report.slowdownPercent = static_cast<std::uint16_t>(100 * pace);
+    report.slowdownPercent = static_cast<std::uint16_t>(100 * slowdown);
     report.slots = 4;
     return report;
 }
--- a/tests/rpc/peerconnecttest.cpp
+++ b/tests/rpc/peerconnecttest.cpp
@@ -29,7 +29,7 @@
 constexpr std::chrono::seconds Patience{5};
 asio::awaitable<void> askAndWait(PeerClient &client, Endpoint peer)
 {
-    const CatalogRequest request{CatalogMark(), Milliseconds(1000), StoreState::InOrder};
+    const CatalogRequest request{CatalogVersions(), Milliseconds(1000), StoreState::Available};
     (void)co_await client.catalog(std::move(peer), request, std::chrono::steady_clock::now() + Patience);
 }
 
--- a/tests/rpc/peerrpctest.cpp
+++ b/tests/rpc/peerrpctest.cpp
@@ -44,12 +44,12 @@
             streamed = co_await answer->begin(AnswerHead{200, {}});
             streamed = streamed && co_await answer->write(body) && co_await answer->write(body);
             streamed = streamed && co_await answer->end();
-            co_return CallOutcome{identity(), {}, StreamedAnswer{}, mark};
+            co_return CallOutcome{identity(), {}, StreamedAnswer{}, versions};
         }
         co_await sleepFor(Milliseconds(std::stoi(head.target)));
         cancellation->clearAction();
         co_return CallOutcome{identity(), LoadReport{1, 2, 3, 4, true}, CompleteAnswer{{201, head.headers}, body},
-                              mark};
+                              versions};
     }
 
     PeerProbe probe() override { return {identity(), {}}; }
@@ -59,16 +59,16 @@
         co_return sent;
     }
 
-    QuarantineNews quarantine(const QuarantineNews &news) override
+    QuarantineUpdate quarantine(const QuarantineUpdate &update) override
     {
-        lastNews = news;
+        lastUpdate = update;
         return answeredNews;
     }
 
-    CatalogMark mark{RouteVersion(3), StoreRevision(9)};
+    CatalogVersions versions{RouteVersion(3), StoreRevision(9)};
     CallHead lastHead;
-    QuarantineNews lastNews;
-    QuarantineNews answeredNews;
+    QuarantineUpdate lastUpdate;
+    QuarantineUpdate answeredNews;
     int cancelled = 0;
     bool streamed = false;
     CatalogRequest lastRequest;
@@ -186,7 +186,7 @@
         CHECK(got.priority == head.priority);
         CHECK(got.targetLatencyLeft == head.targetLatencyLeft);
         CHECK(got.declineThreshold == head.declineThreshold);
-        CHECK_FALSE(got.question);
+        CHECK_FALSE(got.dryRun);
         CHECK(got.disconnectedUpstream == head.disconnectedUpstream);
     }(fixture));
 }
@@ -202,7 +202,7 @@
         CHECK(answer.head.headers.find("X-Name") == "value");
         CHECK(answer.body == "body");
         CHECK(outcome.value().identity.incarnation == Incarnation(7));
-        CHECK(outcome.value().report->leaving);
+        CHECK(outcome.value().report->draining);
         CHECK(outcome.value().catalog.routes == RouteVersion(3));
         CHECK(outcome.value().catalog.list == StoreRevision(9));
     }(fixture));
@@ -297,20 +297,20 @@
         f.service.sent.held = Milliseconds(30);
         f.service.sent.whole = true;
         f.service.sent.changes = {{record.id, record.revision, record}, {UpstreamName("u2"), StoreRevision(9), {}}};
-        f.service.sent.store = StoreState::Settling;
+        f.service.sent.store = StoreState::Recovering;
         f.service.sent.reader = Endpoint("10.0.0.1:7620");
         f.service.sent.storeAge = Milliseconds(60);
         f.service.sent.storeAvailableFor = Milliseconds(70);
         f.service.sent.quarantine = QuarantineDigest(80);
         f.service.sent.hops = 2;
-        const CatalogRequest request{{RouteVersion(4), StoreRevision(7)}, Milliseconds(20), StoreState::Away};
+        const CatalogRequest request{{RouteVersion(4), StoreRevision(7)}, Milliseconds(20), StoreState::Unavailable};
         const auto catalog =
             co_await f.client.catalog(ServerEndpoint, request, std::chrono::steady_clock::now() + Milliseconds(1000));
         REQUIRE(catalog.has_value());
         CHECK(f.service.lastRequest.have.routes == RouteVersion(4));
         CHECK(f.service.lastRequest.have.list == StoreRevision(7));
         CHECK(f.service.lastRequest.wait == Milliseconds(20));
-        CHECK(f.service.lastRequest.known == StoreState::Away);
+        CHECK(f.service.lastRequest.known == StoreState::Unavailable);
         const Catalog &got = catalog.value();
         CHECK(got.has.routes == RouteVersion(5));
         CHECK(got.has.list == StoreRevision(9));
@@ -319,7 +319,7 @@
         CHECK(got.listAge == Milliseconds(50));
         CHECK(got.held == Milliseconds(30));
         CHECK(got.whole);
-        CHECK(got.store == StoreState::Settling);
+        CHECK(got.store == StoreState::Recovering);
         CHECK(got.reader == Endpoint("10.0.0.1:7620"));
         CHECK(got.storeAge == Milliseconds(60));
         CHECK(got.storeAvailableFor == Milliseconds(70));
@@ -344,17 +344,17 @@
     Fixture fixture;
     fixture.service.answeredNews = {QuarantineDigest(8), {answered}};
     fixture.run([&](Fixture &f) -> asio::awaitable<void> {
-        QuarantineNews news{QuarantineDigest(7), {asked}};
-        const auto answer = co_await f.client.quarantine(ServerEndpoint, std::move(news),
+        QuarantineUpdate update{QuarantineDigest(7), {asked}};
+        const auto answer = co_await f.client.quarantine(ServerEndpoint, std::move(update),
                                                          std::chrono::steady_clock::now() + Milliseconds(1000));
         REQUIRE(answer.has_value());
-        CHECK(answer.value().mark == QuarantineDigest(8));
+        CHECK(answer.value().digest == QuarantineDigest(8));
         REQUIRE(answer.value().requests.size() == 1);
         CHECK(answer.value().requests[0].fingerprint == answered.fingerprint);
         CHECK(answer.value().requests[0].crashes == answered.crashes);
         CHECK(answer.value().requests[0].age == answered.age);
     }(fixture));
-    CHECK(fixture.service.lastNews.mark == QuarantineDigest(7));
-    REQUIRE(fixture.service.lastNews.requests.size() == 1);
-    CHECK(fixture.service.lastNews.requests[0].crashes == asked.crashes);
+    CHECK(fixture.service.lastUpdate.digest == QuarantineDigest(7));
+    REQUIRE(fixture.service.lastUpdate.requests.size() == 1);
+    CHECK(fixture.service.lastUpdate.requests[0].crashes == asked.crashes);
 }
--- a/tests/sidecar/crashingrequesttest.cpp
+++ b/tests/sidecar/crashingrequesttest.cpp
@@ -158,8 +158,8 @@
     CrashingService service;
     service.slowDown(Milliseconds(60));
     // Both requests would rather go to the second one.
-    service.upstreams[2]->pace = 400;
-    service.upstreams[3]->pace = 400;
+    service.upstreams[2]->slowdown = 400;
+    service.upstreams[3]->slowdown = 400;
     service.run([&]() -> asio::awaitable<void> {
         const FakeNode &node = *service.nodes[0];
         for (int number = 0; number < 8; ++number) {
--- a/tests/sidecar/fakeupstream.cpp
+++ b/tests/sidecar/fakeupstream.cpp
@@ -64,7 +64,7 @@
 {
     HttpResponseHead head(status);
     const std::string request(exchange.head().headers.find(AttemptId).value_or(std::string_view()));
-    head.headers.add("X-Egretpath-Instance-Load", std::to_string(running_) + ",0,6," + std::to_string(pace));
+    head.headers.add("X-Egretpath-Instance-Load", std::to_string(running_) + ",0,6," + std::to_string(slowdown));
     if (exchange.head().target == "/health") {
         head.status = 200;
         (void)co_await exchange.respond(head, "");
--- a/tests/sidecar/fakeupstream.h
+++ b/tests/sidecar/fakeupstream.h
@@ -44,7 +44,7 @@
     Milliseconds restartTime{100};
     /// Answers lack what proves that they are the upstream's.
     bool unsigned_ = false;
-    std::uint16_t pace = 100;
+    std::uint16_t slowdown = 100;
 
 private:
     boost::asio::awaitable<void> serve(HttpExchange &exchange);
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -41,7 +41,7 @@
     constexpr std::size_t LargeBody = std::size_t{40} * 1024;
     Deployment deployment;
     // So that there is a choice between upstreams, and the node may decline.
-    deployment.one.pace = 400;
+    deployment.one.slowdown = 400;
     deployment.run([&]() -> asio::awaitable<void> {
         const std::string body(LargeBody, 'b');
         for (int number = 0; number < Uploads; ++number) {
@@ -163,7 +163,7 @@
 TEST_CASE("a slow VM's node declines while another upstream is quicker")
 {
     Deployment deployment;
-    deployment.one.pace = 400;
+    deployment.one.slowdown = 400;
     deployment.one.work = Milliseconds(80);
     deployment.two.work = Milliseconds(20);
     deployment.run([&]() -> asio::awaitable<void> {
--- a/tests/standins/slottedupstream.cpp
+++ b/tests/standins/slottedupstream.cpp
@@ -32,7 +32,7 @@
 constexpr std::uint16_t UnavailableStatus = 503;
 constexpr std::uint16_t TimeoutStatus = 504;
 /// A neighbour on the VM makes all work slower for some tenths of a second at a time.
-constexpr Milliseconds PaceStep{100};
+constexpr Milliseconds SlowdownStep{100};
 constexpr double SlowShare = 0.25;
 constexpr double SlowPace = 3.0;
 constexpr double WorkSpread = 0.3;
@@ -79,7 +79,7 @@
             throw std::runtime_error(options_.address.value() + ": " + bound.error().detail);
         }
         asio::co_spawn(
-            executor_, [self = shared_from_this()] { return self->varyPace(); }, asio::detached);
+            executor_, [self = shared_from_this()] { return self->varySlowdown(); }, asio::detached);
     }
 
     void crash()
@@ -222,7 +222,7 @@
     asio::awaitable<bool> work(HttpExchange &exchange, const ArrivedRequest &request, TimePoint deadline, bool &gone)
     {
         std::lognormal_distribution<double> spread(0.0, WorkSpread);
-        const double factor = spread(random_) * pace_ * faults_.slow;
+        const double factor = spread(random_) * slowdown_ * faults_.slow;
         const auto length = std::chrono::duration_cast<Duration>(options_.work * factor);
         asio::steady_timer timer(executor_, std::min(currentTime() + length, deadline));
         exchange.onCallerDisconnected([&timer, &gone] {
@@ -271,10 +271,10 @@
             head.headers.add(std::string(AttemptId), attempt.value());
         }
         head.headers.add("X-Egretpath-Instance-Id", options_.id.value());
-        const auto pace = static_cast<int>(pace_ * Percent);
+        const auto slowdown = static_cast<int>(slowdown_ * Percent);
         head.headers.add("X-Egretpath-Instance-Load",
                          std::to_string(running_) + "," + std::to_string(waiting_) + ","
-                             + std::to_string(options_.slots) + "," + std::to_string(pace));
+                             + std::to_string(options_.slots) + "," + std::to_string(slowdown));
         return head;
     }
 
@@ -285,12 +285,12 @@
 
     [[nodiscard]] bool draws(double share) { return std::bernoulli_distribution(share)(random_); }
 
-    asio::awaitable<void> varyPace()
+    asio::awaitable<void> varySlowdown()
     {
         while (!ended_) {
-            pace_ = draws(SlowShare) ? SlowPace : 1.0;
+            slowdown_ = draws(SlowShare) ? SlowPace : 1.0;
             const auto steps = static_cast<Milliseconds::rep>(1 + random_() % 5);
-            co_await sleepFor(PaceStep * steps);
+            co_await sleepFor(SlowdownStep * steps);
         }
     }
 
@@ -303,7 +303,7 @@
     std::unique_ptr<HttpServer> server_;
     std::uint32_t running_ = 0;
     std::uint32_t waiting_ = 0;
-    double pace_ = 1.0;
+    double slowdown_ = 1.0;
     bool draining_ = false;
     bool ended_ = false;
     /// Never expires; cancelled when a slot is free or the upstream ends.
