--- a/bench/node/rpcbench.cpp
+++ b/bench/node/rpcbench.cpp
@@ -33,7 +33,7 @@
     asio::awaitable<CallOutcome> call(CallHead head, std::string body, std::shared_ptr<AnswerReceiver> /*answer*/,
                                       std::shared_ptr<Cancellation> /*cancellation*/) override
     {
-        WholeAnswer answer;
+        CompleteAnswer answer;
         answer.head.status = 200;
         answer.head.headers = std::move(head.headers);
         answer.body = std::move(body);
@@ -44,7 +44,7 @@
     }
     PeerProbe probe() override { return {identity(), {}}; }
     asio::awaitable<Catalog> catalog(CatalogRequest /*request*/) override { co_return Catalog(); }
-    QuarantineNews quarantine(const QuarantineNews & /*news*/) override { return {}; }
+    QuarantineUpdate quarantine(const QuarantineUpdate & /*news*/) override { return {}; }
 };
 
 CallHead typicalHead()
--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -27,10 +27,10 @@
 constexpr std::size_t Zones = 6;
 constexpr std::size_t Regions = 3;
 constexpr std::array<Microseconds, LinkKindCount> OneWay{Microseconds(200), Microseconds(1400), Microseconds(8000)};
-constexpr unsigned MostQuestions = 3;
+constexpr unsigned MaxQueries = 3;
 constexpr unsigned MostSendings = 8;
 constexpr unsigned CallerReturns = 2;
-constexpr Milliseconds PaceWatchInterval{20};
+constexpr Milliseconds SlowdownWatchInterval{20};
 constexpr double LateWorth = 0.1;
 /// Of a plain rule's upstream: requests that wait in its own queue, for each slot.
 constexpr std::uint32_t QueueOfSlot = 2;
@@ -72,13 +72,13 @@
         : load_(load)
         , settings_(settings)
         , arrivals_(settings.seed)
-        , spells_(settings.seed + 1'000'003)
+        , slowPeriods_(settings.seed + 1'000'003)
         , choices_(settings.seed + 2'000'003)
     {
         for (std::size_t number = 0; number < load_.upstreams; ++number) {
             upstreams_.push_back(std::make_unique<Upstream>(settings_.decisions.queue, load_.slots));
             candidates_.push_back({nameOf(number), zoneOf(number), false});
-            changePace(number, Start);
+            changeSlowdown(number, Start);
         }
         for (std::size_t number = 0; number < load_.nodes; ++number) {
             nodes_.push_back(
@@ -115,7 +115,7 @@
         }
 
         WorkQueue queue;
-        double pace = 1.0;
+        double slowdown = 1.0;
         /// At work, by the id under which they were offered.
         std::map<CallId, Work> running;
         /// Offered and not begun.
@@ -166,19 +166,20 @@
     }
 
     /// A VM is slow or not for a spell, and then draws anew.
-    void changePace(std::size_t upstream, TimePoint time)
+    void changeSlowdown(std::size_t upstream, TimePoint time)
     {
-        upstreams_[upstream]->pace = std::bernoulli_distribution(load_.slowShare)(spells_) ? load_.slowFactor : 1.0;
+        upstreams_[upstream]->slowdown =
+            std::bernoulli_distribution(load_.slowShare)(slowPeriods_) ? load_.slowFactor : 1.0;
         // Its node asks for the pace while a request waits for it.
-        at(time + PaceWatchInterval, [this, upstream] {
-            if (upstreams_[upstream]->queue.awaitsPace(now())) {
-                tellPace(upstream);
+        at(time + SlowdownWatchInterval, [this, upstream] {
+            if (upstreams_[upstream]->queue.needsSlowdownUpdates(now())) {
+                tellSlowdown(upstream);
             }
         });
         std::exponential_distribution<double> length(1.0);
-        const TimePoint end = time + scaled(load_.spell, length(spells_));
+        const TimePoint end = time + scaled(load_.slowPeriod, length(slowPeriods_));
         if (end - Start < load_.length) {
-            at(end, [this, upstream, end] { changePace(upstream, end); });
+            at(end, [this, upstream, end] { changeSlowdown(upstream, end); });
         }
     }
 
@@ -193,17 +194,17 @@
         ++result_.sendings;
         ++request->sendings;
         Node &node = *nodes_[request->node];
-        Duration acceptable{0};
-        const std::size_t upstream = choose(node, *request, acceptable);
+        Duration declineThreshold{0};
+        const std::size_t upstream = choose(node, *request, declineThreshold);
         ++node.underWay[upstream];
         node.view.onSent(nameOf(upstream));
-        at(now() + crossing(*request, upstream), [this, request, upstream, acceptable] {
-            settings_.rule == ReplayRule::Egretpath ? offer(request, upstream, acceptable)
+        at(now() + crossing(*request, upstream), [this, request, upstream, declineThreshold] {
+            settings_.rule == ReplayRule::Egretpath ? offer(request, upstream, declineThreshold)
                                                     : offerPlain(request, upstream);
         });
     }
 
-    std::size_t choose(Node &node, const Request &request, Duration &acceptable)
+    std::size_t choose(Node &node, const Request &request, Duration &declineThreshold)
     {
         switch (settings_.rule) {
         case ReplayRule::Random:
@@ -217,7 +218,7 @@
         case ReplayRule::Egretpath:
             break;
         }
-        return choosePlaced(node, request, acceptable);
+        return choosePlaced(node, request, declineThreshold);
     }
 
     std::size_t leastOf(Node &node, std::size_t count)
@@ -231,12 +232,12 @@
         return best;
     }
 
-    std::size_t choosePlaced(Node &node, const Request &request, Duration &acceptable)
+    std::size_t choosePlaced(Node &node, const Request &request, Duration &declineThreshold)
     {
         PlacementRequest wanted;
         wanted.candidates = candidates_;
         wanted.excluded = request.excluded;
-        wanted.demand.usualTime = load_.work;
+        wanted.demand.baselineTime = load_.work;
         wanted.targetLeft = request.target - now();
         wanted.bodies = Bytes(1200);
         wanted.now = now();
@@ -245,8 +246,8 @@
             wanted.excluded = {};
             choice = node.placement.choose(wanted);
         }
-        if (request.sendings <= settings_.decisions.ingress.ingress.mostQuestions) {
-            acceptable = scaled(choice->acceptable, settings_.decisions.ingress.ingress.declineMargin);
+        if (request.sendings <= settings_.decisions.ingress.ingress.maxQueries) {
+            declineThreshold = scaled(choice->declineThreshold, settings_.decisions.ingress.ingress.declineMargin);
         }
         return choice->candidate;
     }
@@ -275,14 +276,14 @@
     void refused(const RequestPointer &request, std::size_t upstream, Duration retryAfter)
     {
         request->excluded.push_back(nameOf(upstream));
-        const bool asksOn = settings_.rule == ReplayRule::Egretpath ? request->sendings <= MostQuestions
-                                                                    : request->sendings < MostQuestions;
+        const bool asksOn =
+            settings_.rule == ReplayRule::Egretpath ? request->sendings <= MaxQueries : request->sendings < MaxQueries;
         if (asksOn && request->sendings < MostSendings) {
             send(request);
             return;
         }
         const Duration left = request->deadline - now();
-        std::uniform_real_distribution<double> spread(1.0, 1.0 + settings_.decisions.ingress.ingress.returnSpread);
+        std::uniform_real_distribution<double> spread(1.0, 1.0 + settings_.decisions.ingress.ingress.retryAfterSpread);
         const Duration pause = std::min(scaled(retryAfter, spread(choices_)), left / ReturnShare);
         if (request->returns++ == CallerReturns || left <= Duration{0}) {
             end(request, result_.refused);
@@ -311,16 +312,16 @@
 
     // ---- the node beside the upstream
 
-    void offer(const RequestPointer &request, std::size_t number, Duration acceptable)
+    void offer(const RequestPointer &request, std::size_t number, Duration declineThreshold)
     {
         Upstream &upstream = *upstreams_[number];
-        tellPace(number);
+        tellSlowdown(number);
         WorkOffer work;
         work.call = CallId(++calls_);
         work.route = Route;
         work.deadline = request->deadline;
         work.target = request->target;
-        work.acceptable = acceptable;
+        work.declineThreshold = declineThreshold;
         const OfferOutcome outcome = upstream.queue.offer(work, now());
         if (const auto *refusal = std::get_if<Refused>(&outcome)) {
             const Duration retryAfter = refusal->failure.retryAfter;
@@ -334,11 +335,12 @@
         expire(number);
     }
 
-    void tellPace(std::size_t number)
+    void tellSlowdown(std::size_t number)
     {
         constexpr double Percent = 100.0;
         Upstream &upstream = *upstreams_[number];
-        for (const CallId next : upstream.queue.setPace(static_cast<std::uint16_t>(upstream.pace * Percent), now())) {
+        for (const CallId next :
+             upstream.queue.setSlowdown(static_cast<std::uint16_t>(upstream.slowdown * Percent), now())) {
             begin(number, next);
         }
     }
@@ -358,7 +360,7 @@
     Duration duration(const Upstream &upstream, const Request &request) const
     {
         const double fill = static_cast<double>(upstream.running.size()) / load_.slots;
-        return scaled(request.work, upstream.pace * (fill > load_.knee ? load_.kneeFactor : 1.0));
+        return scaled(request.work, upstream.slowdown * (fill > load_.knee ? load_.kneeFactor : 1.0));
     }
 
     void finish(std::size_t number, CallId call, bool cut)
@@ -369,7 +371,7 @@
         for (const CallId next : upstream.queue.finish(call, !cut, now())) {
             begin(number, next);
         }
-        tellPace(number);
+        tellSlowdown(number);
         reply(request, number, [this, request, cut] { cut ? end(request, result_.failed) : answered(request); });
         expire(number);
     }
@@ -433,7 +435,7 @@
     ReplaySettings settings_;
     /// Apart, so that each rule meets the same arrivals and spells.
     Random arrivals_;
-    Random spells_;
+    Random slowPeriods_;
     Random choices_;
     VirtualTime time_;
     std::uint64_t calls_ = 0;
--- a/src/http/httpserverconnection.cpp
+++ b/src/http/httpserverconnection.cpp
@@ -122,7 +122,7 @@
 void HttpServerConnection::drop()
 {
     resetSocket(socket_);
-    noteCallerGone();
+    recordCallerDisconnected();
 }
 
 /// Returns whether a request is there to be served.
@@ -145,7 +145,7 @@
                 co_await waitUntilAllAnswered();
                 co_await answerRefusal(RequestTimeoutStatus, "the request head took too long");
             } else if (!timedOut_ && reading_) {
-                noteCallerGone();
+                recordCallerDisconnected();
             }
             co_return false;
         }
@@ -214,7 +214,7 @@
     // Copied: a callback may complete an exchange.
     const auto exchanges = exchanges_;
     for (const auto &exchange : exchanges) {
-        exchange->noteCallerGone();
+        exchange->recordCallerDisconnected();
     }
     error_code ignored;
     socket_.cancel(ignored);
@@ -246,7 +246,7 @@
 
 asio::awaitable<void> HttpServerConnection::answerRefusal(std::uint16_t status, std::string detail)
 {
-    if (callerGone_) {
+    if (callerDisconnected_) {
         co_return;
     }
     HttpResponseHead head;
@@ -264,7 +264,7 @@
 asio::awaitable<void> HttpServerConnection::closeGently()
 {
     error_code ignored;
-    if (!socket_.is_open() || callerGone_) {
+    if (!socket_.is_open() || callerDisconnected_) {
         closeSocket(socket_);
         co_return;
     }
@@ -323,9 +323,9 @@
     drop();
 }
 
-void HttpServerConnection::noteCallerGone()
+void HttpServerConnection::recordCallerDisconnected()
 {
-    callerGone_ = true;
+    callerDisconnected_ = true;
     stopReading();
 }
 
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -63,7 +63,7 @@
                    Metrics &metrics, Random generator, const IngressDecisions &decisions);
 
     /// What a request of @p route takes when nothing is in the way.
-    [[nodiscard]] Duration usualTime(const Route &route) const;
+    [[nodiscard]] Duration baselineTime(const Route &route) const;
     /// Takes what the end of a try at @p upstream, sent to the node at @p node, tells of both.
     void learn(const RouteName &route, const UpstreamName &upstream, const Endpoint &node,
                const Result<CallOutcome> &outcome);
@@ -90,10 +90,10 @@
     std::size_t openRequests = 0;
 
 private:
-    void recordUsualTime(const RouteName &route, const LoadReport &report);
+    void recordBaselineTime(const RouteName &route, const LoadReport &report);
     void learnFailure(const UpstreamName &upstream, Reason reason);
 
-    std::unordered_map<RouteName, double> usualMicroseconds_;
+    std::unordered_map<RouteName, double> baselineMicroseconds_;
 };
 
 }
--- a/src/ingress/proxiedrequest.h
+++ b/src/ingress/proxiedrequest.h
@@ -41,7 +41,7 @@
     boost::asio::awaitable<bool> evaluate(TryEnd ended);
     void endStreamed(const TryEnd &ended);
     boost::asio::awaitable<void> waitForTry();
-    void noteCallerGone();
+    void recordCallerDisconnected();
 
     boost::asio::awaitable<void> deliver(const RequestTry &which, CallOutcome outcome);
     boost::asio::awaitable<void> giveUp(Failure failure);
@@ -58,7 +58,7 @@
     std::shared_ptr<RequestTries> tries_;
     /// Wakes the loop at the deadline, or when it is cancelled.
     boost::asio::steady_timer wakeUp_;
-    bool callerGone_ = false;
+    bool callerDisconnected_ = false;
     bool streamed_ = false;
 };
 
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -28,7 +28,7 @@
     Endpoint node;
     LinkKind link = LinkKind::InZone;
     /// The node may decline a request that it expects to take longer.
-    Duration acceptable{0};
+    Duration declineThreshold{0};
     std::shared_ptr<Cancellation> cancellation;
     bool sent = false;
 };
@@ -87,7 +87,7 @@
     [[nodiscard]] std::optional<PlacementChoice> choose(std::vector<PlacementCandidate> &candidates);
     [[nodiscard]] std::vector<PlacementCandidate> candidates() const;
     /// Why the request must not be run since it ends upstreams; nothing if it may be.
-    [[nodiscard]] std::optional<Failure> quarantineObjection(const HttpRequestHead &head);
+    [[nodiscard]] std::optional<Failure> quarantineRejection(const HttpRequestHead &head);
     [[nodiscard]] RequestTryPointer makeTry(TryNumber number, const InstanceRecord &record,
                                             const PlacementChoice &choice) const;
     boost::asio::awaitable<void> send(RequestTryPointer which, CallHead head, std::shared_ptr<RequestTries> self);
@@ -95,7 +95,7 @@
     /// Sends to another node; a large body only after the node said that it would take the request.
     boost::asio::awaitable<Result<CallOutcome>> sendToPeer(RequestTryPointer which, CallHead head);
     /// Asks whether the node would take the request. Returns how the try ends if it would not.
-    boost::asio::awaitable<std::optional<Result<CallOutcome>>> askFirst(RequestTryPointer which, CallHead question);
+    boost::asio::awaitable<std::optional<Result<CallOutcome>>> askFirst(RequestTryPointer which, CallHead query);
     [[nodiscard]] bool permitSending(RequestTry &which, CallHead &head);
     void stamp(CallHead &head) const;
     [[nodiscard]] CallHead makeHead(const RequestTry &which, const HttpRequestHead &request) const;
@@ -115,7 +115,7 @@
     std::vector<UpstreamName> declined_;
     std::uint32_t asked_ = 0;
     /// The upstream that last broke off while it ran the request; empty: none did.
-    UpstreamName brokeOff_;
+    UpstreamName disconnectedUpstream_;
     RequestName name_;
 };
 
--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -19,13 +19,13 @@
     /// For others as well.
     Usual,
     /// In place of others, with long pauses while the store is away.
-    Sparing,
+    Standby,
 };
 
 /// What an answer of another node tells of where that has its news from.
 struct SourceReport
 {
-    StoreState store = StoreState::Away;
+    StoreState store = StoreState::Unavailable;
     /// Nodes between the one that answered and the store.
     std::uint8_t hops = 0;
     /// The node that reads the store for it; empty if none does.
@@ -33,17 +33,17 @@
     /// Since that node last read the store.
     Milliseconds age{0};
     /// For how long that node has read it without a loss.
-    Milliseconds inOrderFor{0};
+    Milliseconds storeAvailableFor{0};
 };
 
 /// A question to another node for what is new.
-struct SourceQuestion
+struct SourceQuery
 {
     Endpoint node;
     /// The answer may take so long when there is nothing newer.
     Milliseconds wait{0};
     /// What this node takes the other one's store to be; a change of it is news.
-    StoreState known = StoreState::InOrder;
+    StoreState known = StoreState::Available;
 };
 
 /// Decides whom a node follows, when it asks whom, and whether it reads the platform's store itself.
@@ -66,7 +66,7 @@
     /// This node begins to read; whether the store answers it is not known before it has.
     void beginReading(TimePoint now);
     /// Its own reading brought something.
-    void noteRead(TimePoint now);
+    void recordStoreRead(TimePoint now);
     /// This node's own calls to the store fail from now on, or succeed again.
     void ownReadingLost(TimePoint now);
     void ownReadingBack(TimePoint now);
@@ -74,13 +74,13 @@
     void answered(const Endpoint &node, const SourceReport &report, TimePoint now);
     void silent(const Endpoint &node, TimePoint now);
     /// A cheap look at the store succeeded though others say that it is away.
-    void storeSeen(TimePoint now);
+    void storeProbeSucceeded(TimePoint now);
 
     /// Whom to ask now; nothing: nobody. Precondition: the list was told.
-    [[nodiscard]] std::optional<SourceQuestion> nextQuestion(TimePoint now);
+    [[nodiscard]] std::optional<SourceQuery> nextQuery(TimePoint now);
     [[nodiscard]] StoreReading reading() const;
     /// Whether to look now whether the store answers this node; true once for each look.
-    [[nodiscard]] bool wantsLook(TimePoint now);
+    [[nodiscard]] bool wantsStoreProbe(TimePoint now);
 
     /// What to tell others of the store. @p settles: entries may be missing that this node's own reading lost.
     [[nodiscard]] StoreState store(TimePoint now, bool settles) const;
@@ -89,25 +89,25 @@
     [[nodiscard]] Endpoint reader() const;
     [[nodiscard]] Milliseconds age(TimePoint now) const;
     /// For how long that node has read the store without a loss; zero if it does not.
-    [[nodiscard]] Milliseconds inOrderFor(TimePoint now) const;
+    [[nodiscard]] Milliseconds storeAvailableFor(TimePoint now) const;
     /// Whose news this node takes; nothing while it reads for itself.
     [[nodiscard]] const std::optional<Endpoint> &following() const { return following_; }
     /// The node followed says that the store is away, and nobody who was asked knows better.
-    [[nodiscard]] bool isToldAway() const { return !isFollowingWell() && following_ && searched_; }
+    [[nodiscard]] bool isStoreReportedUnavailable() const { return !isFollowingWell() && following_ && searched_; }
     /// When the node that reads the store for this one last did.
     [[nodiscard]] TimePoint provenAt() const { return provenAt_; }
     /// The last time that some node is known to have read the store; what lapsed did so later.
-    [[nodiscard]] TimePoint lastInOrder() const { return lastInOrder_; }
+    [[nodiscard]] TimePoint lastStoreAvailable() const { return lastStoreAvailable_; }
     /// Since when this node's own calls fail; nothing while they do not.
     [[nodiscard]] const std::optional<TimePoint> &ownLostSince() const { return ownLostSince_; }
 
 private:
     [[nodiscard]] bool isUsable(const SourceReport &report) const;
-    [[nodiscard]] bool isFollowingWell() const { return following_ && report_.store != StoreState::Away; }
+    [[nodiscard]] bool isFollowingWell() const { return following_ && report_.store != StoreState::Unavailable; }
     [[nodiscard]] bool isReaderHere() const { return hasList_ && election_.isReader() && (isListed_ || !following_); }
     [[nodiscard]] bool readsInOrder() const { return reading() != StoreReading::None && hasRead_ && !ownLostSince_; }
-    [[nodiscard]] std::optional<SourceQuestion> question(const Endpoint &node) const;
-    [[nodiscard]] std::optional<SourceQuestion> search(TimePoint now);
+    [[nodiscard]] std::optional<SourceQuery> query(const Endpoint &node) const;
+    [[nodiscard]] std::optional<SourceQuery> search(TimePoint now);
     void follow(const Endpoint &node, const SourceReport &report, TimePoint now);
     void noteAway(const Endpoint &node, const SourceReport &report, TimePoint now);
     void planLook(TimePoint now);
@@ -124,10 +124,10 @@
     SourceReport report_;
     TimePoint provenAt_;
     /// Of the node that reads the store for the one followed.
-    TimePoint sourceInOrderSince_;
-    TimePoint lastInOrder_;
+    TimePoint sourceStoreAvailableSince_;
+    TimePoint lastStoreAvailable_;
     /// Of this node's own reading; nothing while it does not read, or fails.
-    std::optional<TimePoint> ownInOrderSince_;
+    std::optional<TimePoint> ownStoreAvailableSince_;
     std::optional<TimePoint> ownLostSince_;
     /// The store has answered this node since it began to read.
     bool hasRead_ = false;
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -18,9 +18,9 @@
     return std::max(std::chrono::duration_cast<Milliseconds>(to - from), Milliseconds{0});
 }
 
-QuarantineMark toggled(QuarantineMark mark, const RequestFingerprint &request)
+QuarantineDigest toggled(QuarantineDigest digest, const RequestFingerprint &request)
 {
-    return QuarantineMark(mark.value() ^ request.digest.low);
+    return QuarantineDigest(digest.value() ^ request.digest.low);
 }
 
 }
@@ -40,20 +40,20 @@
     }
 }
 
-CrashNews Quarantine::crashed(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now)
+CrashResult Quarantine::crashed(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now)
 {
-    CrashNews news;
+    CrashResult result;
     for (const RequestFingerprint &request : held) {
         if (allowed_.contains(request)) {
             continue;
         }
         const bool refusedNow = add(request, crash, now);
-        news.known.push_back(toldOf(*entries_.find(request), now));
+        result.known.push_back(toldOf(*entries_.find(request), now));
         if (refusedNow) {
-            news.refused.push_back(news.known.back());
+            result.refused.push_back(result.known.back());
         }
     }
-    return news;
+    return result;
 }
 
 std::vector<SuspectedRequest> Quarantine::take(const std::vector<SuspectedRequest> &told, TimePoint now)
@@ -90,7 +90,7 @@
     const bool refusedNow = isRefused(entry) && !wasRefused;
     if (refusedNow) {
         ++refused_;
-        mark_ = toggled(mark_, request);
+        digest_ = toggled(digest_, request);
     }
     if (isNew || refusedNow) {
         makeRoom(request, refusedNow);
@@ -120,7 +120,7 @@
 {
     if (isRefused(place->second)) {
         --refused_;
-        mark_ = toggled(mark_, place->first);
+        digest_ = toggled(digest_, place->first);
     }
     entries_.erase(place);
 }
@@ -147,7 +147,7 @@
     }
 }
 
-std::optional<Failure> Quarantine::objection(const RequestFingerprint &request, TimePoint now) const
+std::optional<Failure> Quarantine::rejection(const RequestFingerprint &request, TimePoint now) const
 {
     const auto found = entries_.find(request);
     if (found == entries_.end() || !isRefused(found->second)) {
@@ -158,7 +158,7 @@
         return std::nullopt;
     }
     const std::string crashes = std::to_string(found->second.crashes.size());
-    return notRun(Reason::EndsUpstreams,
+    return notRun(Reason::CrashesUpstreams,
                   crashes + " upstreams ended with " + toHex(request) + " under way, the last "
                       + std::to_string(age.count()) + " ms ago",
                   settings_.refusalTime - age);
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -47,7 +47,7 @@
     Duration expected{0};
     /// If the answer takes longer than this from the chosen upstream's node on, the next best is the better choice;
     /// zero if there is no other.
-    Duration acceptable{0};
+    Duration declineThreshold{0};
     LinkKind link = LinkKind::InZone;
 };
 
@@ -100,7 +100,7 @@
         double linkCost = 0.0;
         /// Time and bytes together.
         double cost = 0.0;
-        bool shut = false;
+        bool ejected = false;
     };
 
     [[nodiscard]] Rated rate(const PlacementRequest &request, std::size_t candidate);
--- a/src/routing/placementview.h
+++ b/src/routing/placementview.h
@@ -19,7 +19,7 @@
     /// Weight of the newest report in what is typical.
     double typicalGain = 0.03;
     /// What is assumed to be typical before any report: a quarter of the VMs four times slower.
-    double typicalPace = 1.7;
+    double typicalSlowdown = 1.7;
     /// Time in which evidence of failures falls to 1/e.
     Duration failureMemory = std::chrono::seconds{3};
     /// How many times longer a request is taken to need for each recent failure seen here, and for a share of one of
@@ -41,7 +41,7 @@
 struct PlacementDemand
 {
     /// What it takes when nothing is in the way.
-    Duration usualTime{0};
+    Duration baselineTime{0};
     /// It goes before all that waits.
     bool urgent = false;
 };
@@ -67,13 +67,13 @@
     /// It was reached.
     void onReached(const UpstreamName &upstream);
     /// It takes no new work for @p hold.
-    void onClosed(const UpstreamName &upstream, Duration hold, TimePoint now);
+    void onDraining(const UpstreamName &upstream, Duration hold, TimePoint now);
     void forget(const UpstreamName &upstream) { records_.erase(upstream); }
 
     /// From the arrival of a request there to its answer.
     [[nodiscard]] Duration expected(const UpstreamName &upstream, const PlacementDemand &demand, TimePoint now) const;
     /// Whether nothing should be sent there now.
-    [[nodiscard]] bool isShut(const UpstreamName &upstream, TimePoint now) const;
+    [[nodiscard]] bool isEjected(const UpstreamName &upstream, TimePoint now) const;
     /// How little is known of the present: 0 for a report of this moment, 1 without any.
     [[nodiscard]] double staleness(const UpstreamName &upstream, TimePoint now) const;
     /// Whether no report ever came from there.
@@ -85,10 +85,10 @@
     struct Load
     {
         /// How many times longer than usual work takes.
-        double pace = 1.0;
+        double slowdown = 1.0;
         /// Until the end of the VM's slow spell, for which requests wait if that is quicker, and the pace after it.
-        double spellSeconds = 0.0;
-        double settledPace = 1.0;
+        double slowPeriodSeconds = 0.0;
+        double recoveredSlowdown = 1.0;
         /// Calls before a request that goes before all that waits, and before one that goes behind, for each slot.
         double urgentWait = 0.0;
         double wait = 0.0;
@@ -108,7 +108,7 @@
         double failures = 0.0;
         TimePoint failureTime;
         std::uint32_t unreachable = 0;
-        TimePoint shutUntil;
+        TimePoint ejectedUntil;
     };
 
     [[nodiscard]] double failuresOf(const Record &record, TimePoint now) const;
@@ -116,7 +116,7 @@
     [[nodiscard]] Load loadIn(const LoadReport &report) const;
     [[nodiscard]] static Load mixed(double share, const Load &one, const Load &other);
     /// What work takes that needs @p usualSeconds when nothing is in the way.
-    [[nodiscard]] static double workSeconds(const Load &load, double usualSeconds);
+    [[nodiscard]] static double workSeconds(const Load &load, double baselineSeconds);
 
     PlacementViewSettings settings_;
     std::unordered_map<UpstreamName, Record> records_;
--- a/tests/sidecar/fakeupstream.cpp
+++ b/tests/sidecar/fakeupstream.cpp
@@ -64,7 +64,7 @@
 {
     HttpResponseHead head(status);
     const std::string request(exchange.head().headers.find(AttemptId).value_or(std::string_view()));
-    head.headers.add("X-Egretpath-Instance-Load", std::to_string(running_) + ",0,6," + std::to_string(pace));
+    head.headers.add("X-Egretpath-Instance-Load", std::to_string(running_) + ",0,6," + std::to_string(slowdown));
     if (exchange.head().target == "/health") {
         head.status = 200;
         (void)co_await exchange.respond(head, "");
@@ -97,12 +97,12 @@
     }
     ++runs_[request];
     ++running_;
-    exchange.onCallerGone([this] { ++cancelled_; });
+    exchange.onCallerDisconnected([this] { ++cancelled_; });
     asio::steady_timer timer(co_await asio::this_coro::executor, work);
     co_await timer.async_wait(asio::use_awaitable);
     --running_;
     if (!endsOn.empty() && exchange.head().target == endsOn) {
-        if (!exchange.callerGone()) {
+        if (!exchange.callerDisconnected()) {
             asio::co_spawn(executor_, crash(), asio::detached);
         }
         co_return;
@@ -122,7 +122,7 @@
 {
     constexpr Milliseconds Step{5};
     asio::steady_timer timer(co_await asio::this_coro::executor);
-    while (!exchange.callerGone()) {
+    while (!exchange.callerDisconnected()) {
         timer.expires_after(Step);
         co_await timer.async_wait(asio::use_awaitable);
     }
