--- a/tests/sidecar/catalogtest.cpp
+++ b/tests/sidecar/catalogtest.cpp
@@ -10,7 +10,8 @@
 using namespace Egretpath;
 namespace asio = boost::asio;
 
-// The store comes back with an older copy, or a peer that was cut off passes its routes on.
+// Guards against older routes replacing newer ones: the store returns with an older copy, or a peer that was cut off
+// sends its old routes.
 TEST_CASE("routes never go back to an older version")
 {
     Deployment deployment;
@@ -23,12 +24,13 @@
     });
 }
 
-// The store turns one machine away, and its node is restarted meanwhile. The others have routes and list.
-TEST_CASE("a node that starts without the store learns routes and upstreams from its seeds")
+// Guards against a node that stays without routes: the store refuses one VM, and the node there is restarted meanwhile.
+// The other nodes have routes and list.
+TEST_CASE("a node that starts without the store gets routes and upstreams from its seeds")
 {
     Deployment deployment;
     FakeUpstream &upstream = deployment.addUpstream("i-3");
-    deployment.catalog.unreachable = true;
+    deployment.catalog.isUnreachable = true;
     FakeNode &late = deployment.addNode(upstream, "statements", {deployment.first.peers});
     deployment.run([&]() -> asio::awaitable<void> {
         std::uint16_t ready = 0;
@@ -48,20 +50,20 @@
     });
 }
 
-// All VMs lose power at once and come back one after the other. A node that is back early asked the nodes that its
-// settings name, which were still dark, and waited for each of them in turn: for most of a second it turned its callers
-// away, with the store in reach.
+// Guards against a node that refuses its callers for most of a second though it can reach the store. All VMs lose power
+// at once and come back one after another. A node that is back early asks its seeds, which are still down, and waits
+// for each of them in turn.
 TEST_CASE("a node that starts does not wait long for nodes that don't answer")
 {
     Deployment deployment;
     FakeUpstream &upstream = deployment.addUpstream("i-3");
-    asio::io_context dark;
+    asio::io_context stopped;
     using asio::ip::tcp;
-    const tcp::endpoint anywhere(asio::ip::address_v4::loopback(), 0);
-    std::vector<tcp::acceptor> silent;
+    const tcp::endpoint anyPort(asio::ip::address_v4::loopback(), 0);
+    std::vector<tcp::acceptor> silentSeeds;
     std::vector<Endpoint> seeds;
     for (int count = 0; count < 3; ++count) {
-        const auto port = silent.emplace_back(dark, anywhere).local_endpoint().port();
+        const auto port = silentSeeds.emplace_back(stopped, anyPort).local_endpoint().port();
         seeds.emplace_back("127.0.0.1:" + std::to_string(port));
     }
     FakeNode &early = deployment.addNode(upstream, "statements", seeds);
@@ -73,11 +75,11 @@
     });
 }
 
-TEST_CASE("one node reads the platform for its region, and the other has its news at once")
+TEST_CASE("one node reads the store for its region, and the other gets its updates at once")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         deployment.catalog.publishRoutes(20);
         co_await deployment.sleep(Milliseconds(100));
         for (const FakeNode *node : {&deployment.first, &deployment.second}) {
@@ -92,79 +94,79 @@
     });
 }
 
-// Routes are moved to another service, and one region goes on with the old ones for as long as its reader is cut off
-// from the platform: its followers have no watch of their own.
-TEST_CASE("a follower whose reader can't read the platform any more reads for itself")
+// Guards against a region that keeps old routes while its reader is cut off from the store: routes are moved to another
+// service, and the followers of the reader have no watch of their own.
+TEST_CASE("a follower whose reader can't read the store any more reads it itself")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
-        const std::size_t reader = deployment.catalog.reads(0) ? 0 : 1;
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
+        const std::size_t reader = deployment.catalog.isReading(0) ? 0 : 1;
         FakeNode &follower = reader == 0 ? deployment.second : deployment.first;
-        deployment.catalog.silence(reader);
+        deployment.catalog.stopUpdatesTo(reader);
         deployment.catalog.lose(reader);
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 2; }));
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 2; }));
         deployment.catalog.publishRoutes(20);
         checkStatus(co_await deployment.send(follower.callers, "GET", "/v20/1", "after"), 200);
     });
 }
 
-// A change of the routes reaches all nodes but one, which sends requests by the old ones for half a minute. Its watch
-// at the platform hangs on a connection that something on the way has forgotten, and nothing ever tells it.
-TEST_CASE("a node whose source has fallen silent learns from others that it missed a change")
+// Guards against a node that uses old routes for half a minute after a change that reached all other nodes. Its watch
+// at the store waits on a connection that a device on the way has dropped without notice.
+TEST_CASE("a node whose source sends no updates learns from other nodes that it missed a change")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
-        const bool firstReads = deployment.catalog.reads(0);
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
+        const bool firstReads = deployment.catalog.isReading(0);
         FakeNode &reader = firstReads ? deployment.first : deployment.second;
         FakeUpstream &own = firstReads ? deployment.one : deployment.two;
         FakeUpstream &other = firstReads ? deployment.two : deployment.one;
-        // The reader hears nothing more; the other node has the change.
-        deployment.catalog.silence(firstReads ? 0 : 1);
-        deployment.catalog.tellOnly(firstReads ? 1 : 0, 20);
-        // Requests at the reader go on to the other node, whose answers say what it has.
+        // The reader gets no further updates; the other node gets the change.
+        deployment.catalog.stopUpdatesTo(firstReads ? 0 : 1);
+        deployment.catalog.publishRoutesOnlyTo(firstReads ? 1 : 0, 20);
+        // The reader forwards requests to the other node, whose answers carry its versions.
         own.status = 503;
         for (int number = 0; number < 20; ++number) {
             (void)co_await deployment.send(reader.callers, "GET", "/read/1", "c-" + std::to_string(number));
             co_await deployment.sleep(Milliseconds(100));
         }
         CHECK(other.totalRuns() > 0);
-        // The new route allows one attempt, so that either upstream has to answer it.
+        // The new route allows a single try, so either upstream must be able to answer it.
         own.status = 200;
         checkStatus(co_await deployment.send(reader.callers, "GET", "/v20/1", "late"), 200);
     });
 }
 
-// A third of the VMs is cut off from the store, and after some seconds their upstreams vanish from its list, though
-// they live. Their callers get refusals for overload, since all nodes crowd on the upstreams that are left. Nodes in
-// there that read the store know that they are cut off and go on using the lapsed ones; those that follow a node
-// outside do not.
-TEST_CASE("a follower that is cut off from the store itself does not drop upstreams that lapse")
+// Guards against refusals for overload after a third of the VMs is cut off from the store. After some seconds their
+// upstreams disappear from the list, though they are alive, and all nodes send to the upstreams that are left. Cut-off
+// nodes that read the store notice and go on using the expired upstreams; a cut-off node that follows a node outside
+// must check its own access to the store.
+TEST_CASE("a follower that is cut off from the store itself does not drop upstreams whose leases expire")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
-        const bool firstReads = deployment.catalog.reads(0);
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
+        const bool firstReads = deployment.catalog.isReading(0);
         FakeNode &reader = firstReads ? deployment.first : deployment.second;
         FakeNode &follower = firstReads ? deployment.second : deployment.first;
-        const std::string lapsed = firstReads ? "i-2" : "i-1";
-        const std::string left = firstReads ? "i-1" : "i-2";
-        deployment.catalog.cutOff = true;
-        deployment.catalog.remove(lapsed);
+        const std::string expired = firstReads ? "i-2" : "i-1";
+        const std::string remaining = firstReads ? "i-1" : "i-2";
+        deployment.catalog.isCutOff = true;
+        deployment.catalog.remove(expired);
         co_await deployment.sleep(Milliseconds(300));
         const Reply outside = co_await deployment.send(reader.callers, "GET", "/read/1", "outside");
-        CHECK(outside.body.starts_with(left + ":"));
-        // The other upstream takes nothing more, so that the request shows whether the lapsed one is still used.
+        CHECK(outside.body.starts_with(remaining + ":"));
+        // The other upstream refuses everything, so the request shows whether the expired one is still used.
         (firstReads ? deployment.one : deployment.two).status = 503;
         const Reply inside = co_await deployment.send(follower.callers, "GET", "/read/1", "inside");
-        CHECK(inside.body.starts_with(lapsed + ":"));
+        CHECK(inside.body.starts_with(expired + ":"));
     });
 }
 
-// A fleet starts, and each of its nodes reads everything from the store though one had asked it: the list that it got
-// is empty as yet, so that it takes itself for the only node of its region.
-TEST_CASE("a node that is not listed yet goes on with the node that it began at")
+// Guards against a starting fleet of which every node reads everything from the store. A node gets a list from its seed
+// that is still empty, and so takes itself for the only node of its region.
+TEST_CASE("a node that is not listed yet keeps following the seed that it started from")
 {
     SidecarFixture fixture;
     FakeUpstream &one = fixture.addUpstream("i-1");
@@ -177,31 +179,32 @@
     fixture.catalog.remove("i-2");
     fixture.run([&]() -> asio::awaitable<void> {
         co_await fixture.sleep(Milliseconds(1500));
-        CHECK(fixture.catalog.reads(0));
-        CHECK_FALSE(fixture.catalog.reads(1));
+        CHECK(fixture.catalog.isReading(0));
+        CHECK_FALSE(fixture.catalog.isReading(1));
         checkStatus(co_await fixture.send(late.callers, "GET", "/read/1", "early"), 503);
     });
 }
 
-// Guards against large routes that outlast the limits of those who wait for them, and are sent again and again.
-TEST_CASE("changes of many routes pass links of little bandwidth, and followers stay with their source")
+// Guards against large routes that take longer to transfer than the timeout of the followers that wait for them, so
+// that they are sent again and again.
+TEST_CASE("changes of many routes reach followers over links of little bandwidth, and followers keep their source")
 {
     constexpr std::size_t ManyRoutes = 1400;
-    // A node's share of 10 Mbit/s while its source serves two more.
+    // One node's share of 10 Mbit/s while its source serves two more nodes.
     constexpr std::uint64_t LinkShare = 416'000;
-    constexpr Milliseconds InForceWithin{2000};
+    constexpr Milliseconds ActiveWithin{2000};
     Deployment deployment;
     deployment.putBehindLink(deployment.first, deployment.one, "statements", LinkShare);
     deployment.putBehindLink(deployment.second, deployment.two, "statements", LinkShare);
-    deployment.catalog.idleRoutes = ManyRoutes;
+    deployment.catalog.unusedRoutes = ManyRoutes;
     deployment.catalog.publishList();
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         for (std::uint64_t version = 20; version < 24; ++version) {
             deployment.catalog.publishRoutes(version);
-            for (Milliseconds waited{0}; waited < InForceWithin; waited += Milliseconds(100)) {
+            for (Milliseconds waited{0}; waited < ActiveWithin; waited += Milliseconds(100)) {
                 co_await deployment.sleep(Milliseconds(100));
-                CHECK(deployment.catalog.readers() == 1);
+                CHECK(deployment.catalog.readerCount() == 1);
             }
             const std::string target = "/v" + std::to_string(version) + "/1";
             for (const FakeNode *node : {&deployment.first, &deployment.second}) {
@@ -212,11 +215,11 @@
     });
 }
 
-// Guards against a fleet of which every node calls a store that is away, or that does not see it come back.
-TEST_CASE("while the store is away, nodes stay with their sources, and have its news when it is back")
+// Guards against a fleet in which every node calls a store that is unavailable, or which misses the store's return.
+TEST_CASE("while the store is unavailable, nodes keep their sources, and get its updates when it is back")
 {
     constexpr int Nodes = 8;
-    constexpr std::chrono::seconds Away{6};
+    constexpr std::chrono::seconds Outage{6};
     SidecarFixture fixture;
     std::vector<FakeNode *> nodes;
     nodes.reserve(Nodes);
@@ -226,45 +229,46 @@
     fixture.catalog.publishRoutes(10);
     fixture.catalog.publishList();
     fixture.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await fixture.until([&] { return fixture.catalog.readers() == 1; }));
-        fixture.catalog.setAway(true);
-        co_await fixture.sleep(Away);
-        // The reader and its two deputies.
-        CHECK(fixture.catalog.readers() <= 3);
+        checkHappened(co_await fixture.waitUntil([&] { return fixture.catalog.readerCount() == 1; }));
+        fixture.catalog.setUnavailable(true);
+        co_await fixture.sleep(Outage);
+        // The reader and its two standby nodes.
+        CHECK(fixture.catalog.readerCount() <= 3);
         for (const FakeNode *node : nodes) {
             checkStatus(co_await fixture.send(node->callers, "GET", "/read/1", "away-" + node->callers.value()), 200);
         }
-        fixture.catalog.setAway(false);
+        fixture.catalog.setUnavailable(false);
         co_await fixture.sleep(Milliseconds(2000));
         fixture.catalog.publishRoutes(20);
         co_await fixture.sleep(Milliseconds(200));
         for (const FakeNode *node : nodes) {
             checkStatus(co_await fixture.send(node->callers, "GET", "/v20/1", "back-" + node->callers.value()), 200);
         }
-        CHECK(fixture.catalog.readers() == 1);
+        CHECK(fixture.catalog.readerCount() == 1);
     });
 }
 
-// Guards against nodes that start while the store is away, take routes from a seed, and then hear of nothing newer.
-TEST_CASE("nodes that started while the store was away have its news when it is back")
+// Guards against nodes that start while the store is unavailable, get routes from a seed, and then get no further
+// updates.
+TEST_CASE("nodes that started while the store was unavailable get its updates when it is back")
 {
-    constexpr int Late = 4;
-    constexpr Milliseconds InForceWithin{1500};
+    constexpr int LateNodes = 4;
+    constexpr Milliseconds ActiveWithin{1500};
     Deployment deployment;
     std::vector<FakeNode *> late;
-    late.reserve(Late);
+    late.reserve(LateNodes);
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
-        deployment.catalog.setAway(true);
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
+        deployment.catalog.setUnavailable(true);
         co_await deployment.sleep(CatalogTimes().provenFor + Milliseconds(500));
-        for (int number = 0; number < Late; ++number) {
+        for (int number = 0; number < LateNodes; ++number) {
             const FakeUpstream &upstream = deployment.addUpstream("i-late-" + std::to_string(number));
             late.push_back(&deployment.addNode(upstream, "statements", {deployment.first.peers}));
         }
         co_await deployment.sleep(Milliseconds(1500));
-        deployment.catalog.setAway(false);
+        deployment.catalog.setUnavailable(false);
         deployment.catalog.publishRoutes(30);
-        co_await deployment.sleep(InForceWithin);
+        co_await deployment.sleep(ActiveWithin);
         for (const FakeNode *node : late) {
             checkStatus(co_await deployment.send(node->callers, "GET", "/v30/1", "late-" + node->callers.value()), 200);
         }
--- a/tests/sidecar/crashingrequesttest.cpp
+++ b/tests/sidecar/crashingrequesttest.cpp
@@ -20,14 +20,14 @@
 const std::string CrashingPath = "/read/crash";
 const std::string CrashingPayment = "/pay/crash";
 
-/// Upstreams of one service that a request of CrashingPath or @p path ends, with their nodes.
+/// Upstreams of one service, with their nodes. A request for @p path crashes them.
 struct CrashingService : SidecarFixture
 {
     explicit CrashingService(const std::string &path = CrashingPath)
     {
         for (int number = 1; number <= Upstreams; ++number) {
             FakeUpstream &upstream = addUpstream("i-" + std::to_string(number));
-            upstream.endsOn = path;
+            upstream.crashesOn = path;
             upstreams.push_back(&upstream);
             nodes.push_back(&addNode(upstream, "statements"));
         }
@@ -35,23 +35,24 @@
         catalog.publishList();
     }
 
-    /// Attempts with ids of their own, one after the other, at one node after the other.
+    /// Sends attempts with different ids one after another, each to the next node.
     asio::awaitable<void> sendCrashing(std::string method, std::string path, int attempts, std::string body = {})
     {
         for (int attempt = 0; attempt < attempts; ++attempt) {
             const FakeNode &node = *nodes[static_cast<std::size_t>(attempt) % nodes.size()];
-            last = co_await send(node.callers, method, path, path + std::to_string(attempt), Milliseconds(700), body);
+            lastReply =
+                co_await send(node.callers, method, path, path + std::to_string(attempt), Milliseconds(700), body);
             co_await sleep(Milliseconds(40));
         }
     }
 
     asio::awaitable<void> sendOne(const FakeNode &node, std::string method, std::string path, std::string id,
-                                  Milliseconds patience = Milliseconds(700))
+                                  Milliseconds timeout = Milliseconds(700))
     {
-        last = co_await send(node.callers, method, path, id, patience);
+        lastReply = co_await send(node.callers, method, path, id, timeout);
     }
 
-    asio::awaitable<void> sendBystander(int number, std::vector<std::uint16_t> &statuses)
+    asio::awaitable<void> sendUnrelated(int number, std::vector<std::uint16_t> &statuses)
     {
         const FakeNode &node = *nodes[static_cast<std::size_t>(number) % nodes.size()];
         const std::string name = "other-" + std::to_string(number);
@@ -60,61 +61,62 @@
         statuses.push_back(reply.status);
     }
 
-    /// Upstreams work long enough to hold several requests when they end.
-    void slowDown(Milliseconds work)
+    /// Makes runs long enough for an upstream to hold several requests when it crashes.
+    void setRunDuration(Milliseconds duration)
     {
         for (FakeUpstream *upstream : upstreams) {
-            upstream->work = work;
+            upstream->runDuration = duration;
         }
     }
 
-    /// Twelve proper requests, one after the other, at all nodes.
-    asio::awaitable<void> startBystanders(std::vector<std::uint16_t> &statuses)
+    /// Starts twelve requests that crash nothing, one after another, spread over all nodes.
+    asio::awaitable<void> startUnrelatedRequests(std::vector<std::uint16_t> &statuses)
     {
         const asio::any_io_executor executor = co_await asio::this_coro::executor;
         for (int number = 0; number < 12; ++number) {
-            asio::co_spawn(executor, sendBystander(number, statuses), asio::detached);
+            asio::co_spawn(executor, sendUnrelated(number, statuses), asio::detached);
         }
     }
 
-    [[nodiscard]] int ends() const
+    [[nodiscard]] int crashes() const
     {
         int sum = 0;
         for (const FakeUpstream *upstream : upstreams) {
-            sum += upstream->ends();
+            sum += upstream->crashes();
         }
         return sum;
     }
 
     std::vector<FakeUpstream *> upstreams;
     std::vector<FakeNode *> nodes;
-    Reply last;
+    Reply lastReply;
 };
 
 }
 
-// Guards against a request that ends one upstream after the other, as each node judges each attempt alone.
-TEST_CASE("a read that has ended two upstreams is sent to none any more")
+// Guards against a request that crashes one upstream after another, because each node judges each attempt alone.
+TEST_CASE("a read that has crashed two upstreams is not sent to any more upstreams")
 {
     CrashingService service;
     service.run([&]() -> asio::awaitable<void> { co_await service.sendCrashing("GET", CrashingPath, 16); });
-    CHECK(service.ends() == 2);
-    checkStatus(service.last, 503);
+    CHECK(service.crashes() == 2);
+    checkStatus(service.lastReply, 503);
 }
 
-// As above, for requests that the nodes themselves never send again: only their callers do.
-TEST_CASE("a payment that has ended two upstreams is sent to none any more")
+// Guards against a request that crashes one upstream after another though the nodes never retry it: its callers send it
+// again and again.
+TEST_CASE("a payment that has crashed two upstreams is not sent to any more upstreams")
 {
     CrashingService service(CrashingPayment);
     service.run(
         [&]() -> asio::awaitable<void> { co_await service.sendCrashing("POST", CrashingPayment, 16, "amount=5"); });
-    CHECK(service.ends() == 2);
-    checkStatus(service.last, 503);
+    CHECK(service.crashes() == 2);
+    checkStatus(service.lastReply, 503);
 }
 
-// Guards against what comes together at all nodes before any of them has seen a crash: it ends what it has reached, and
-// nothing after that.
-TEST_CASE("attempts that come together end the upstreams that they reached, and no other one after that")
+// Guards against further crashes after attempts that arrive at all nodes together. They reach upstreams before any node
+// has seen a crash, so they may crash those upstreams, but no upstream after that.
+TEST_CASE("attempts that arrive together crash the upstreams that they reached, and later attempts crash none")
 {
     CrashingService service;
     service.run([&]() -> asio::awaitable<void> {
@@ -125,25 +127,25 @@
                            asio::detached);
         }
         co_await service.sleep(Milliseconds(300));
-        const int endsAtFirst = service.ends();
-        CHECK(endsAtFirst <= Upstreams);
+        const int crashesAtFirst = service.crashes();
+        CHECK(crashesAtFirst <= Upstreams);
         co_await service.sendCrashing("GET", CrashingPath, 8);
-        CHECK(service.ends() == endsAtFirst);
+        CHECK(service.crashes() == crashesAtFirst);
     });
 }
 
-// Guards against bystanders that are refused since the upstream that held them ended by another request.
-TEST_CASE("other requests that an ended upstream held are answered elsewhere, and again")
+// Guards against refusing unrelated requests because the upstream that held them was crashed by another request.
+TEST_CASE("unrelated requests that a crashed upstream held are answered elsewhere, and when they are sent again")
 {
     CrashingService service;
-    service.slowDown(Milliseconds(25));
+    service.setRunDuration(Milliseconds(25));
     service.run([&]() -> asio::awaitable<void> {
         const asio::any_io_executor executor = co_await asio::this_coro::executor;
         std::vector<std::uint16_t> statuses;
-        co_await service.startBystanders(statuses);
+        co_await service.startUnrelatedRequests(statuses);
         asio::co_spawn(executor, service.sendCrashing("GET", CrashingPath, 6), asio::detached);
-        (void)co_await service.until([&] { return statuses.size() == 12; });
-        CHECK(service.ends() > 0);
+        (void)co_await service.waitUntil([&] { return statuses.size() == 12; });
+        CHECK(service.crashes() > 0);
         CHECK(std::count(statuses.begin(), statuses.end(), 200) == 12);
         co_await service.sleep(Milliseconds(200));
         const Reply again = co_await service.send(service.nodes[0]->callers, "GET", "/read/other-1", "again");
@@ -151,13 +153,13 @@
     });
 }
 
-// Guards against a bystander that follows the guilty request from one ended upstream to the next, and is refused with
-// it.
-TEST_CASE("requests that an ended upstream held are not tried together at the next one")
+// Guards against an unrelated request that is retried at the same upstreams as the crashing request, so that it is held
+// by each upstream that crashes and is refused as well.
+TEST_CASE("requests that a crashed upstream held are not retried together at the next upstream")
 {
     CrashingService service;
-    service.slowDown(Milliseconds(60));
-    // Both requests would rather go to the second one.
+    service.setRunDuration(Milliseconds(60));
+    // Both requests would prefer the second upstream.
     service.upstreams[2]->slowdown = 400;
     service.upstreams[3]->slowdown = 400;
     service.run([&]() -> asio::awaitable<void> {
@@ -166,58 +168,58 @@
             (void)co_await service.send(node.callers, "GET", "/read/" + std::to_string(number), std::to_string(number));
         }
         const asio::any_io_executor executor = co_await asio::this_coro::executor;
-        // As patient as the others: one with less time left is taken for a caller that comes again, and is late.
-        constexpr Milliseconds UsualPatience{1000};
-        asio::co_spawn(executor, service.sendOne(node, "GET", CrashingPath, "guilty", UsualPatience), asio::detached);
-        const Reply bystander = co_await service.send(node.callers, "GET", "/read/bystander", "bystander");
-        checkStatus(bystander, 200);
-        (void)co_await service.until([&] { return service.last.status != 0; });
-        CHECK(service.ends() == 2);
+        // The same timeout as the other requests: a request with less time left counts as a late retry of its caller.
+        constexpr Milliseconds RequestTimeout{1000};
+        asio::co_spawn(executor, service.sendOne(node, "GET", CrashingPath, "guilty", RequestTimeout), asio::detached);
+        const Reply unrelated = co_await service.send(node.callers, "GET", "/read/bystander", "bystander");
+        checkStatus(unrelated, 200);
+        (void)co_await service.waitUntil([&] { return service.lastReply.status != 0; });
+        CHECK(service.crashes() == 2);
     });
 }
 
-// Guards against bystanders that are refused since one upstream that held them ended.
-TEST_CASE("requests that one ended upstream held are answered, then and after the next end")
+// Guards against refusing unrelated requests because one upstream that held them crashed.
+TEST_CASE("requests that one crashed upstream held are answered, at that time and after the next crash")
 {
     CrashingService service(CrashingPayment);
-    service.slowDown(Milliseconds(25));
+    service.setRunDuration(Milliseconds(25));
     service.run([&]() -> asio::awaitable<void> {
         std::vector<std::uint16_t> statuses;
-        co_await service.startBystanders(statuses);
+        co_await service.startUnrelatedRequests(statuses);
         co_await service.sendCrashing("POST", CrashingPayment, 1);
-        (void)co_await service.until([&] { return statuses.size() == 12; });
-        CHECK(service.ends() == 1);
+        (void)co_await service.waitUntil([&] { return statuses.size() == 12; });
+        CHECK(service.crashes() == 1);
         CHECK(std::count(statuses.begin(), statuses.end(), 200) == 12);
         co_await service.sendCrashing("POST", CrashingPayment, 3);
-        CHECK(service.ends() == 2);
+        CHECK(service.crashes() == 2);
         const Reply again = co_await service.send(service.nodes[0]->callers, "GET", "/read/other-1", "again");
         checkStatus(again, 200);
     });
 }
 
-// Guards against a node that starts, knows of no crash, and hands such a request to its upstream.
-TEST_CASE("a node that has just started refuses what the others refuse")
+// Guards against a node that starts without knowledge of earlier crashes and sends a crashing request to its upstream.
+TEST_CASE("a node that has just started refuses the requests that other nodes refuse")
 {
     CrashingService service;
     service.run([&]() -> asio::awaitable<void> {
         co_await service.sendCrashing("GET", CrashingPath, 6);
         FakeUpstream &upstream = service.addUpstream("i-new");
-        upstream.endsOn = CrashingPath;
+        upstream.crashesOn = CrashingPath;
         const FakeNode &node = service.addNode(upstream, "statements", {service.nodes[0]->peers});
         service.catalog.publishList();
         co_await service.sleep(Milliseconds(100));
         const Reply reply = co_await service.send(node.callers, "GET", CrashingPath, "at the new one");
         CHECK(reply.status == 503);
         CHECK(std::stod(std::string(reply.headers.find("Retry-After").value_or("0"))) > 3600.0);
-        CHECK(upstream.ends() == 0);
+        CHECK(upstream.crashes() == 0);
     });
 }
 
-// Guards against a request that was under way when it was accused, and ends one more upstream.
-TEST_CASE("a run of a request that is refused meanwhile is broken off")
+// Guards against a request that is still running when it comes to be refused, and then crashes one more upstream.
+TEST_CASE("a run of a request is cancelled when the request comes to be refused")
 {
     CrashingService service;
-    service.upstreams[0]->work = Milliseconds(400);
+    service.upstreams[0]->runDuration = Milliseconds(400);
     service.run([&]() -> asio::awaitable<void> {
         for (int number = 0; number < 8; ++number) {
             asio::co_spawn(co_await asio::this_coro::executor,
@@ -226,6 +228,6 @@
         }
         co_await service.sleep(Milliseconds(600));
     });
-    CHECK(service.upstreams[0]->ends() == 0);
-    CHECK(service.ends() >= 2);
+    CHECK(service.upstreams[0]->crashes() == 0);
+    CHECK(service.crashes() >= 2);
 }
--- a/tests/sidecar/deployment.h
+++ b/tests/sidecar/deployment.h
@@ -9,16 +9,16 @@
 namespace Egretpath
 {
 
-// No co_await stands inside CHECK: g++ 12 destroys temporaries of such expressions twice.
+// These functions keep co_await out of CHECK: g++ 12 destroys the temporaries of such expressions twice.
 
-inline void checkStatus(const Reply &reply, std::uint16_t wanted)
+inline void checkStatus(const Reply &reply, std::uint16_t expected)
 {
-    CHECK(reply.status == wanted);
+    CHECK(reply.status == expected);
 }
 
-inline void checkReadiness(std::uint16_t status, std::uint16_t wanted)
+inline void checkReadiness(std::uint16_t status, std::uint16_t expected)
 {
-    CHECK(status == wanted);
+    CHECK(status == expected);
 }
 
 inline void checkHappened(bool happened)
@@ -26,7 +26,7 @@
     CHECK(happened);
 }
 
-/// Two upstreams of one service with their nodes, and everything published.
+/// Two upstreams of one service with their nodes, and with routes and list published.
 struct Deployment : SidecarFixture
 {
     Deployment()
--- a/tests/sidecar/fakecatalog.cpp
+++ b/tests/sidecar/fakecatalog.cpp
@@ -10,54 +10,57 @@
 namespace Egretpath
 {
 
-/// Hands what the catalog publishes to the node that was made with it.
+/// Reports what the FakeCatalog publishes to one node.
 class FakeSource final : public CatalogSource
 {
 public:
     explicit FakeSource(FakeCatalog &catalog)
         : catalog_(catalog)
-        , reachable_(!catalog.unreachable)
+        , isReachable_(!catalog.isUnreachable)
     {
     }
 
     void attach(CatalogSink &sink) override
     {
         sink_ = &sink;
-        catalog_.made_.push_back(&sink);
+        catalog_.allSinks_.push_back(&sink);
     }
 
-    void resume(StoreRevision /*listReached*/, bool lost, Milliseconds /*longestPause*/) override
+    void resume(StoreRevision /*listReached*/, bool wasLost, Milliseconds /*maxInterval*/) override
     {
-        auto &sinks = catalog_.sinks_;
-        if (!reachable_) {
+        auto &sinks = catalog_.readingSinks_;
+        if (!isReachable_) {
             sink_->sourceLost("the test says so");
             return;
         }
         if (std::find(sinks.begin(), sinks.end(), sink_) != sinks.end()) {
             return;
         }
-        if (catalog_.away_) {
+        if (catalog_.isUnavailable_) {
             sinks.push_back(sink_);
             sink_->sourceLost("the test says so");
             return;
         }
-        if (lost) {
+        if (wasLost) {
             sink_->sourceBack();
         }
         sinks.push_back(sink_);
         if (catalog_.version_ > 0) {
             sink_->routesRead(readRoutes(catalog_.routesText()).value());
         }
-        if (catalog_.listed_) {
+        if (catalog_.isListPublished_) {
             sink_->listRead(catalog_.snapshot());
         }
     }
 
-    void suspend() override { std::erase(catalog_.sinks_, sink_); }
+    void suspend() override { std::erase(catalog_.readingSinks_, sink_); }
 
-    boost::asio::awaitable<bool> isReachable() override { co_return reachable_ && !catalog_.cutOff && !catalog_.away_; }
+    boost::asio::awaitable<bool> isReachable() override
+    {
+        co_return isReachable_ && !catalog_.isCutOff && !catalog_.isUnavailable_;
+    }
 
-    ~FakeSource() override { std::erase(catalog_.sinks_, sink_); }
+    ~FakeSource() override { std::erase(catalog_.readingSinks_, sink_); }
     FakeSource(const FakeSource &) = delete;
     FakeSource &operator=(const FakeSource &) = delete;
 
@@ -73,7 +76,7 @@
 private:
     FakeCatalog &catalog_;
     CatalogSink *sink_ = nullptr;
-    bool reachable_;
+    bool isReachable_;
 };
 
 std::unique_ptr<CatalogSource> FakeCatalog::makeSource()
@@ -83,15 +86,15 @@
 
 std::string FakeCatalog::routesText() const
 {
-    std::ostringstream idle;
-    for (std::size_t number = 0; number < idleRoutes; ++number) {
-        // Digits that look like chance, as names do.
+    std::ostringstream unused;
+    for (std::size_t number = 0; number < unusedRoutes; ++number) {
+        // The digits look random, so that these names compress as badly as real ones.
         const std::uint64_t name = stableHash(std::to_string(number));
-        idle << R"({"name":"r-)" << name << R"(","kind":"safe","target_latency":"300ms","priority":2,)"
-             << R"("match":{"prefix":"/)" << name << R"(/"},)"
-             << R"("action":{"service":"statements","timeout":"800ms","max_attempts":3}},)";
+        unused << R"({"name":"r-)" << name << R"(","kind":"safe","target_latency":"300ms","priority":2,)"
+               << R"("match":{"prefix":"/)" << name << R"(/"},)"
+               << R"("action":{"service":"statements","timeout":"800ms","max_attempts":3}},)";
     }
-    return R"({"version":")" + std::to_string(version_) + R"(","listeners":[{"hostname":"h","rules":[)" + idle.str()
+    return R"({"version":")" + std::to_string(version_) + R"(","listeners":[{"hostname":"h","rules":[)" + unused.str()
         + R"({"name":"read","kind":"safe","target_latency":"300ms","priority":2,"match":{"prefix":"/read/"},)"
           R"("action":{"service":"statements","timeout":"800ms","max_attempts":3}},)"
           R"({"name":"pay","kind":"unsafe","target_latency":"300ms","priority":1,"match":{"prefix":"/pay/"},)"
@@ -103,7 +106,7 @@
 void FakeCatalog::publishRoutes(std::uint64_t version)
 {
     version_ = version;
-    tell([this](CatalogSink &sink) {
+    notifyReaders([this](CatalogSink &sink) {
         sink.routesRead({Platform::routesFromJson(routesText()).value(), routesText()});
     });
 }
@@ -111,8 +114,8 @@
 void FakeCatalog::publishList()
 {
     ++revision_;
-    listed_ = true;
-    tell([this](CatalogSink &sink) { sink.listRead(snapshot()); });
+    isListPublished_ = true;
+    notifyReaders([this](CatalogSink &sink) { sink.listRead(snapshot()); });
 }
 
 void FakeCatalog::add(const FakeUpstream &upstream, const Endpoint &node, const std::string &service)
@@ -132,12 +135,12 @@
 {
     records_.erase(id);
     ++revision_;
-    tell([&](CatalogSink &sink) {
+    notifyReaders([&](CatalogSink &sink) {
         sink.changesRead({{UpstreamName(id), StoreRevision(revision_), std::nullopt}}, StoreRevision(revision_));
     });
 }
 
-InstanceChange FakeCatalog::draining(const std::string &id)
+InstanceChange FakeCatalog::markDraining(const std::string &id)
 {
     InstanceRecord &record = records_.at(id);
     record.state = InstanceState::Draining;
@@ -147,50 +150,50 @@
 
 void FakeCatalog::drain(const std::string &id)
 {
-    const InstanceChange change = draining(id);
-    tell([&](CatalogSink &sink) { sink.changesRead({change}, change.revision); });
+    const InstanceChange change = markDraining(id);
+    notifyReaders([&](CatalogSink &sink) { sink.changesRead({change}, change.revision); });
 }
 
-void FakeCatalog::drainOnly(std::size_t node, const std::string &id)
+void FakeCatalog::announceDrainOnlyTo(std::size_t node, const std::string &id)
 {
-    const InstanceChange change = draining(id);
-    made_.at(node)->changesRead({change}, change.revision);
+    const InstanceChange change = markDraining(id);
+    allSinks_.at(node)->changesRead({change}, change.revision);
 }
 
-bool FakeCatalog::reads(std::size_t node) const
+bool FakeCatalog::isReading(std::size_t node) const
 {
-    return std::find(sinks_.begin(), sinks_.end(), made_.at(node)) != sinks_.end();
+    return std::find(readingSinks_.begin(), readingSinks_.end(), allSinks_.at(node)) != readingSinks_.end();
 }
 
-void FakeCatalog::tellOnly(std::size_t node, std::uint64_t version)
+void FakeCatalog::publishRoutesOnlyTo(std::size_t node, std::uint64_t version)
 {
     version_ = version;
-    made_.at(node)->routesRead({Platform::routesFromJson(routesText()).value(), routesText()});
+    allSinks_.at(node)->routesRead({Platform::routesFromJson(routesText()).value(), routesText()});
 }
 
 void FakeCatalog::lose()
 {
-    tell([](CatalogSink &sink) { sink.sourceLost("the test says so"); });
+    notifyReaders([](CatalogSink &sink) { sink.sourceLost("the test says so"); });
 }
 
 void FakeCatalog::lose(std::size_t node)
 {
-    made_.at(node)->sourceLost("the test says so");
+    allSinks_.at(node)->sourceLost("the test says so");
 }
 
-void FakeCatalog::comeBack()
+void FakeCatalog::restore()
 {
-    tell([](CatalogSink &sink) { sink.sourceBack(); });
+    notifyReaders([](CatalogSink &sink) { sink.sourceBack(); });
 }
 
-void FakeCatalog::setAway(bool away)
+void FakeCatalog::setUnavailable(bool isUnavailable)
 {
-    away_ = away;
-    if (away) {
+    isUnavailable_ = isUnavailable;
+    if (isUnavailable) {
         lose();
         return;
     }
-    comeBack();
+    restore();
     publishRoutes(version_);
     publishList();
 }
@@ -205,11 +208,11 @@
     return snapshot;
 }
 
-void FakeCatalog::tell(const std::function<void(CatalogSink &)> &what)
+void FakeCatalog::notifyReaders(const std::function<void(CatalogSink &)> &action)
 {
-    for (std::size_t node = 0; node < made_.size(); ++node) {
-        if (reads(node) && !silent_.contains(node)) {
-            what(*made_[node]);
+    for (std::size_t node = 0; node < allSinks_.size(); ++node) {
+        if (isReading(node) && !silentNodes_.contains(node)) {
+            action(*allSinks_[node]);
         }
     }
 }
--- a/tests/sidecar/fakecatalog.h
+++ b/tests/sidecar/fakecatalog.h
@@ -16,7 +16,7 @@
 namespace Egretpath
 {
 
-/// Routes and a list that a test publishes, or does not.
+/// A store for tests: a test decides when its routes and its list are published, and which nodes get them.
 class FakeCatalog
 {
 public:
@@ -24,52 +24,54 @@
     void publishList();
     void add(const FakeUpstream &upstream, const Endpoint &node, const std::string &service);
     void remove(const std::string &id);
-    /// The upstream says that it leaves.
+    /// The upstream announces that it drains.
     void drain(const std::string &id);
-    /// As above; only this node hears of it.
-    void drainOnly(std::size_t node, const std::string &id);
+    /// Like drain(), but only the node with number @p node is told.
+    void announceDrainOnlyTo(std::size_t node, const std::string &id);
+    /// Reports to all readers that the store can't be read.
     void lose();
-    /// Only for the node that was made as number @p node.
+    /// Like lose(), but only for the node with number @p node. Nodes are numbered from 0 in the order of makeSource().
     void lose(std::size_t node);
-    void comeBack();
-    /// Nobody can read it any more, or everybody can again.
-    void setAway(bool away);
-    /// The platform's side of a new node.
+    /// Reports to all readers that the store answers again.
+    void restore();
+    /// Makes the store unavailable for all nodes, or available again.
+    void setUnavailable(bool isUnavailable);
+    /// The catalog source of a new node.
     [[nodiscard]] std::unique_ptr<CatalogSource> makeSource();
-    /// Nodes that read it now.
-    [[nodiscard]] std::size_t readers() const { return sinks_.size(); }
-    /// Whether the node that was made as number @p node reads it.
-    [[nodiscard]] bool reads(std::size_t node) const;
-    /// The node that was made as number @p node reads on, and hears nothing more.
-    void silence(std::size_t node) { silent_.insert(node); }
-    /// Publishes routes that only this node gets, whether it reads or not.
-    void tellOnly(std::size_t node, std::uint64_t version);
-    /// Nodes that do not read it would find that they can't.
-    bool cutOff = false;
-    /// Nodes made from now on can't read it.
-    bool unreachable = false;
-    /// Routes that nobody uses, beside those of the tests.
-    std::size_t idleRoutes = 0;
+    /// The number of nodes that read the store now.
+    [[nodiscard]] std::size_t readerCount() const { return readingSinks_.size(); }
+    /// Whether the node with number @p node reads the store.
+    [[nodiscard]] bool isReading(std::size_t node) const;
+    /// The node with number @p node still counts as a reader, but gets no further updates.
+    void stopUpdatesTo(std::size_t node) { silentNodes_.insert(node); }
+    /// Publishes routes that only the node with number @p node gets, whether it reads or not.
+    void publishRoutesOnlyTo(std::size_t node, std::uint64_t version);
+    /// Nodes that check whether the store is reachable find that it is not.
+    bool isCutOff = false;
+    /// Nodes that are made from now on can't read the store.
+    bool isUnreachable = false;
+    /// The number of routes that nobody uses, published in addition to those of the tests.
+    std::size_t unusedRoutes = 0;
 
 private:
     friend class FakeSource;
 
     [[nodiscard]] InstanceSnapshot snapshot() const;
-    /// The change that makes the upstream leave.
-    [[nodiscard]] InstanceChange draining(const std::string &id);
+    /// Marks the upstream as draining and returns this change.
+    [[nodiscard]] InstanceChange markDraining(const std::string &id);
     [[nodiscard]] std::string routesText() const;
-    void tell(const std::function<void(CatalogSink &)> &what);
+    void notifyReaders(const std::function<void(CatalogSink &)> &action);
 
-    /// Those that read.
-    std::vector<CatalogSink *> sinks_;
-    /// Of all nodes, in the order in which they were made.
-    std::vector<CatalogSink *> made_;
-    std::set<std::size_t> silent_;
+    /// The sinks of the nodes that read.
+    std::vector<CatalogSink *> readingSinks_;
+    /// The sinks of all nodes, in the order in which the nodes were made.
+    std::vector<CatalogSink *> allSinks_;
+    std::set<std::size_t> silentNodes_;
     std::map<std::string, InstanceRecord> records_;
     std::uint64_t version_ = 0;
     std::uint64_t revision_ = 0;
-    bool listed_ = false;
-    bool away_ = false;
+    bool isListPublished_ = false;
+    bool isUnavailable_ = false;
 };
 
 }
--- a/tests/sidecar/fakeupstream.cpp
+++ b/tests/sidecar/fakeupstream.cpp
@@ -36,7 +36,7 @@
     if (!server_) {
         co_return;
     }
-    ++ends_;
+    ++crashes_;
     server_->closeAll();
     server_.reset();
     asio::steady_timer timer(executor_, restartTime);
@@ -55,7 +55,7 @@
     return std::accumulate(runs_.begin(), runs_.end(), 0, [](int sum, const auto &item) { return sum + item.second; });
 }
 
-std::string FakeUpstream::lastField(const std::string &name) const
+std::string FakeUpstream::lastHeader(const std::string &name) const
 {
     return std::string(lastHeaders_.find(name).value_or("none"));
 }
@@ -64,7 +64,8 @@
 {
     HttpResponseHead head(status);
     const std::string request(exchange.head().headers.find(AttemptId).value_or(std::string_view()));
-    head.headers.add("X-Egretpath-Instance-Load", std::to_string(running_) + ",0,6," + std::to_string(slowdown));
+    head.headers.add("X-Egretpath-Instance-Load",
+                     std::to_string(runningRequests_) + ",0,6," + std::to_string(slowdown));
     if (exchange.head().target == "/health") {
         head.status = 200;
         (void)co_await exchange.respond(head, "");
@@ -91,34 +92,34 @@
         (void)co_await exchange.respond(head, "");
         co_return;
     }
-    if (loses) {
-        co_await neverAnswer(exchange);
+    if (neverAnswers) {
+        co_await waitForDisconnect(exchange);
         co_return;
     }
     ++runs_[request];
-    ++running_;
-    exchange.onCallerDisconnected([this] { ++cancelled_; });
-    asio::steady_timer timer(co_await asio::this_coro::executor, work);
+    ++runningRequests_;
+    exchange.onCallerDisconnected([this] { ++cancelledRuns_; });
+    asio::steady_timer timer(co_await asio::this_coro::executor, runDuration);
     co_await timer.async_wait(asio::use_awaitable);
-    --running_;
-    if (!endsOn.empty() && exchange.head().target == endsOn) {
+    --runningRequests_;
+    if (!crashesOn.empty() && exchange.head().target == crashesOn) {
         if (!exchange.callerDisconnected()) {
             asio::co_spawn(executor_, crash(), asio::detached);
         }
         co_return;
     }
-    if (breaks) {
+    if (disconnectsAfterRun) {
         exchange.abort();
         co_return;
     }
-    if (!unsigned_) {
+    if (!omitsSignature) {
         head.headers.add("X-Egretpath-Server-Signature", "3e1b." + request);
     }
     (void)co_await exchange.respond(head,
                                     id_ + ":" + exchange.head().method + ":" + exchange.head().target + ":" + body);
 }
 
-asio::awaitable<void> FakeUpstream::neverAnswer(HttpExchange &exchange)
+asio::awaitable<void> FakeUpstream::waitForDisconnect(HttpExchange &exchange)
 {
     constexpr Milliseconds Step{5};
     asio::steady_timer timer(co_await asio::this_coro::executor);
--- a/tests/sidecar/fakeupstream.h
+++ b/tests/sidecar/fakeupstream.h
@@ -13,7 +13,8 @@
 namespace Egretpath
 {
 
-/// A service's own program: answers by path, counts what it ran, and says what upstreams say on the platform.
+/// A stand-in for the program of a service: it answers by path, counts its runs, and sends the platform's header
+/// fields.
 class FakeUpstream
 {
 public:
@@ -24,44 +25,44 @@
     /// How often the request with this id was run.
     [[nodiscard]] int runs(const std::string &request) const;
     [[nodiscard]] int totalRuns() const;
-    /// Fields of the last request.
-    [[nodiscard]] std::string lastField(const std::string &name) const;
-    [[nodiscard]] int cancelled() const { return cancelled_; }
-    /// How often it has ended.
-    [[nodiscard]] int ends() const { return ends_; }
+    /// The value of the header field @p name of the last request; "none" if it was missing.
+    [[nodiscard]] std::string lastHeader(const std::string &name) const;
+    [[nodiscard]] int cancelledRuns() const { return cancelledRuns_; }
+    /// How often the upstream has crashed.
+    [[nodiscard]] int crashes() const { return crashes_; }
 
     /// Status of the answers; 503 is a refusal before anything ran.
     std::uint16_t status = 200;
-    /// Time that a run takes.
-    Milliseconds work{5};
-    /// The connection breaks once the request has run.
-    bool breaks = false;
-    /// Requests are never answered, nor anything more on their connections, and not counted.
-    bool loses = false;
-    /// A run of a request with this path ends the upstream with all that it holds; empty: none does.
-    std::string endsOn;
-    /// From such an end until it is back.
+    /// The duration of a run.
+    Milliseconds runDuration{5};
+    /// The connection is aborted once the request has run.
+    bool disconnectsAfterRun = false;
+    /// Requests are neither answered nor counted, and their connections stay silent.
+    bool neverAnswers = false;
+    /// A run of a request for this path crashes the upstream with all requests that it holds. Empty: no request does.
+    std::string crashesOn;
+    /// The time from such a crash until the upstream listens again.
     Milliseconds restartTime{100};
-    /// Answers lack what proves that they are the upstream's.
-    bool unsigned_ = false;
+    /// Answers lack the signature that proves that they are the upstream's.
+    bool omitsSignature = false;
     std::uint16_t slowdown = 100;
 
 private:
     boost::asio::awaitable<void> serve(HttpExchange &exchange);
-    /// Ends as a process does that crashes, and comes back.
+    /// Closes everything as a crashing process does, and listens again after restartTime.
     boost::asio::awaitable<void> crash();
     void listen();
-    static boost::asio::awaitable<void> neverAnswer(HttpExchange &exchange);
+    static boost::asio::awaitable<void> waitForDisconnect(HttpExchange &exchange);
 
     boost::asio::any_io_executor executor_;
     std::string id_;
     std::map<std::string, int> runs_;
     HttpHeaders lastHeaders_;
-    int cancelled_ = 0;
-    int running_ = 0;
-    int ends_ = 0;
+    int cancelledRuns_ = 0;
+    int runningRequests_ = 0;
+    int crashes_ = 0;
     Endpoint address_{"127.0.0.1:0"};
-    /// Null while it is not there.
+    /// Null from a crash until the restart.
     std::unique_ptr<HttpServer> server_;
 };
 
--- a/tests/sidecar/sidecarfixture.cpp
+++ b/tests/sidecar/sidecarfixture.cpp
@@ -22,19 +22,19 @@
 namespace
 {
 
-/// An address of this process alone.
+/// Returns an address that no other process uses.
 ///
-/// Guards against a port that is taken between its choice and its use: a free one of the system's own choice was used
-/// by one of the connections that the tests open all the time. Those begin at 127.0.0.1, where none of these addresses
-/// is.
-Endpoint ownEndpoint()
+/// Guards against a port that is taken between its choice and its use: one of the connections that the tests open all
+/// the time could take a free port that the system chose. Those connections start from 127.0.0.1, and none of these
+/// addresses is there.
+Endpoint uniqueEndpoint()
 {
     constexpr int FirstPort = 21'000;
-    static int used = 0;
+    static int count = 0;
     const int process = ::getpid();
-    ++used;
+    ++count;
     return Endpoint("127." + std::to_string(200 + process % 50) + "." + std::to_string(process / 50 % 250) + "."
-                    + std::to_string(1 + used % 250) + ":" + std::to_string(FirstPort + used));
+                    + std::to_string(1 + count % 250) + ":" + std::to_string(FirstPort + count));
 }
 
 SidecarSettings settingsOf(const FakeNode &node, const FakeUpstream &upstream, const std::string &service,
@@ -60,7 +60,7 @@
 }
 
 SidecarFixture::SidecarFixture()
-    : pool_(loop_.context().get_executor(), HttpPoolLimits())
+    : pool_(eventLoop_.context().get_executor(), HttpPoolLimits())
 {
 }
 
@@ -68,23 +68,23 @@
 
 FakeUpstream &SidecarFixture::addUpstream(const std::string &id)
 {
-    return *upstreams_.emplace_back(std::make_unique<FakeUpstream>(loop_.context().get_executor(), id));
+    return *upstreams_.emplace_back(std::make_unique<FakeUpstream>(eventLoop_.context().get_executor(), id));
 }
 
 FakeNode &SidecarFixture::addNode(const FakeUpstream &upstream, const std::string &service,
                                   const std::vector<Endpoint> &seeds)
 {
     FakeNode &node = *nodes_.emplace_back(std::make_unique<FakeNode>());
-    node.callers = ownEndpoint();
-    node.ready = ownEndpoint();
-    node.peers = ownEndpoint();
+    node.callers = uniqueEndpoint();
+    node.ready = uniqueEndpoint();
+    node.peers = uniqueEndpoint();
     catalog.add(upstream, node.peers, service);
     SidecarPlatform platform;
     platform.callers = std::make_unique<Platform::PlatformCallerDialect>();
     platform.upstreams = std::make_unique<Platform::PlatformUpstreamDialect>();
     platform.catalog = catalog.makeSource();
-    node.sidecar =
-        std::make_unique<Sidecar>(loop_.context(), settingsOf(node, upstream, service, seeds), std::move(platform));
+    node.sidecar = std::make_unique<Sidecar>(eventLoop_.context(), settingsOf(node, upstream, service, seeds),
+                                             std::move(platform));
     if (!node.sidecar->start()) {
         throw std::runtime_error("a node could not listen");
     }
@@ -95,47 +95,47 @@
                                    std::uint64_t bytesPerSecond)
 {
     StandinRelay &link = *links_.emplace_back(
-        std::make_unique<StandinRelay>(loop_.context().get_executor(), toTcpEndpoint(node.peers).value()));
+        std::make_unique<StandinRelay>(eventLoop_.context().get_executor(), toTcpEndpoint(node.peers).value()));
     RelayConditions conditions;
     conditions.bytesPerSecond = bytesPerSecond;
     link.setConditions(conditions);
-    catalog.add(upstream, link.listen(toTcpEndpoint(ownEndpoint()).value()), service);
+    catalog.add(upstream, link.listen(toTcpEndpoint(uniqueEndpoint()).value()), service);
 }
 
 void SidecarFixture::run(const std::function<asio::awaitable<void>()> &scenario)
 {
-    constexpr std::chrono::seconds Limit{20};
-    bool ended = false;
+    constexpr std::chrono::seconds ScenarioTimeout{20};
+    bool hasEnded = false;
     std::exception_ptr thrown;
-    asio::co_spawn(loop_.context(), scenario, [&](std::exception_ptr error) {
-        ended = true;
+    asio::co_spawn(eventLoop_.context(), scenario, [&](std::exception_ptr error) {
+        hasEnded = true;
         thrown = error;
-        loop_.context().stop();
+        eventLoop_.context().stop();
     });
-    const TimePoint limit = std::chrono::steady_clock::now() + Limit;
-    while (!ended && std::chrono::steady_clock::now() < limit) {
-        // A node that has stopped stops the loop as well; the scenario goes on.
-        loop_.context().restart();
-        loop_.context().run_until(limit);
+    const TimePoint deadline = std::chrono::steady_clock::now() + ScenarioTimeout;
+    while (!hasEnded && std::chrono::steady_clock::now() < deadline) {
+        // A node that has stopped stops the event loop as well. It is restarted, so that the scenario goes on.
+        eventLoop_.context().restart();
+        eventLoop_.context().run_until(deadline);
     }
     if (thrown) {
         std::rethrow_exception(thrown);
     }
-    if (!ended) {
-        throw std::runtime_error("the scenario did not end");
+    if (!hasEnded) {
+        throw std::runtime_error("the scenario did not end in time");
     }
 }
 
 asio::awaitable<void> SidecarFixture::sleep(Milliseconds duration)
 {
-    asio::steady_timer timer(loop_.context(), duration);
+    asio::steady_timer timer(eventLoop_.context(), duration);
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<bool> SidecarFixture::until(std::function<bool()> condition)
+asio::awaitable<bool> SidecarFixture::waitUntil(std::function<bool()> condition)
 {
-    constexpr int Attempts = 5000;
-    for (int attempt = 0; attempt < Attempts; ++attempt) {
+    constexpr int MaxChecks = 5000;
+    for (int check = 0; check < MaxChecks; ++check) {
         if (condition()) {
             co_return true;
         }
@@ -144,19 +144,19 @@
     co_return false;
 }
 
-asio::awaitable<Reply> SidecarFixture::send(Endpoint node, std::string method, std::string target, std::string request,
-                                            Milliseconds patience, std::string body)
+asio::awaitable<Reply> SidecarFixture::send(Endpoint node, std::string method, std::string target,
+                                            std::string attemptId, Milliseconds timeout, std::string body)
 {
     Reply reply;
-    const TimePoint deadline = std::chrono::steady_clock::now() + patience + std::chrono::seconds(2);
+    const TimePoint deadline = std::chrono::steady_clock::now() + timeout + std::chrono::seconds(2);
     auto opened = co_await pool_.open(node, deadline, HttpConnectionChoice::Fresh);
     if (!opened) {
         co_return reply;
     }
     HttpRequestHead head(std::move(method), std::move(target));
     head.headers.add("Host", "h");
-    head.headers.add(std::string(AttemptId), std::move(request));
-    head.headers.add("X-Egretpath-Deadline-Ms", std::to_string(patience.count()));
+    head.headers.add(std::string(AttemptId), std::move(attemptId));
+    head.headers.add("X-Egretpath-Deadline-Ms", std::to_string(timeout.count()));
     head.headers.add("X-Egretpath-Caller-Service", "forged");
     (void)co_await opened.value()->sendRequest(std::move(head), std::move(body));
     auto answer = co_await opened.value()->readHead();
--- a/tests/sidecar/sidecarfixture.h
+++ b/tests/sidecar/sidecarfixture.h
@@ -18,7 +18,7 @@
 namespace Egretpath
 {
 
-/// What a caller got.
+/// The answer that a caller got; the status is 0 if it got none.
 struct Reply
 {
     std::uint16_t status = 0;
@@ -26,7 +26,7 @@
     std::string body;
 };
 
-/// One node of a deployment in this process.
+/// One node of the deployment, with the addresses of its listeners.
 struct FakeNode
 {
     Endpoint callers;
@@ -35,7 +35,7 @@
     std::unique_ptr<Sidecar> sidecar;
 };
 
-/// A deployment in one process: upstreams, the nodes beside them, and a catalog.
+/// A deployment in one process: upstreams, the nodes beside them, and a store.
 class SidecarFixture
 {
 public:
@@ -45,24 +45,24 @@
     SidecarFixture &operator=(const SidecarFixture &) = delete;
 
     FakeUpstream &addUpstream(const std::string &id);
-    /// A node beside @p upstream, listed under @p service.
+    /// Starts a node beside @p upstream and adds the upstream to the list under @p service.
     FakeNode &addNode(const FakeUpstream &upstream, const std::string &service,
                       const std::vector<Endpoint> &seeds = {});
-    /// Other nodes reach @p node, which stands beside @p upstream, by a link of this bandwidth.
+    /// Makes other nodes reach @p node, which is beside @p upstream, over a link of this bandwidth.
     void putBehindLink(const FakeNode &node, const FakeUpstream &upstream, const std::string &service,
                        std::uint64_t bytesPerSecond);
     void run(const std::function<boost::asio::awaitable<void>()> &scenario);
     [[nodiscard]] boost::asio::awaitable<void> sleep(Milliseconds duration);
-    [[nodiscard]] boost::asio::awaitable<bool> until(std::function<bool()> condition);
+    [[nodiscard]] boost::asio::awaitable<bool> waitUntil(std::function<bool()> condition);
     [[nodiscard]] boost::asio::awaitable<Reply> send(Endpoint node, std::string method, std::string target,
-                                                     std::string request, Milliseconds patience = Milliseconds(1000),
+                                                     std::string attemptId, Milliseconds timeout = Milliseconds(1000),
                                                      std::string body = {});
     [[nodiscard]] boost::asio::awaitable<std::uint16_t> readiness(Endpoint ready);
 
     FakeCatalog catalog;
 
 private:
-    AsioEventPort loop_;
+    AsioEventPort eventLoop_;
     HttpConnectionPool pool_;
     std::vector<std::unique_ptr<FakeUpstream>> upstreams_;
     std::vector<std::unique_ptr<FakeNode>> nodes_;
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -12,7 +12,7 @@
 using namespace Egretpath;
 namespace asio = boost::asio;
 
-TEST_CASE("a request goes from its caller over two nodes to an upstream, and the answer comes back unchanged")
+TEST_CASE("a request goes from its caller through the nodes to an upstream, and the answer comes back unchanged")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
@@ -27,20 +27,20 @@
         }
     });
     const FakeUpstream &used = deployment.one.totalRuns() > 0 ? deployment.one : deployment.two;
-    CHECK(used.lastField("X-Egretpath-Caller-Service") == "statements");
-    CHECK(used.lastField("X-Egretpath-Target-Instance") == used.id());
-    CHECK(std::stoi(used.lastField("X-Egretpath-Deadline-Ms")) <= 700);
-    CHECK(std::stoi(used.lastField("X-Egretpath-Deadline-Ms")) > 500);
+    CHECK(used.lastHeader("X-Egretpath-Caller-Service") == "statements");
+    CHECK(used.lastHeader("X-Egretpath-Target-Instance") == used.id());
+    CHECK(std::stoi(used.lastHeader("X-Egretpath-Deadline-Ms")) <= 700);
+    CHECK(std::stoi(used.lastHeader("X-Egretpath-Deadline-Ms")) > 500);
 }
 
-// Guards against an upload that ends its node: it is sent to another node only when that has said that it would take
-// it.
-TEST_CASE("uploads go to another node that said it would take them")
+// Guards against an upload that crashes its node: it is sent to another node only after that node has said that it
+// would accept it.
+TEST_CASE("uploads go to another node that said it would accept them")
 {
     constexpr int Uploads = 6;
     constexpr std::size_t LargeBody = std::size_t{40} * 1024;
     Deployment deployment;
-    // So that there is a choice between upstreams, and the node may decline.
+    // The upstreams differ, so that there is a choice between them and the node may decline.
     deployment.one.slowdown = 400;
     deployment.run([&]() -> asio::awaitable<void> {
         const std::string body(LargeBody, 'b');
@@ -56,7 +56,7 @@
     CHECK(deployment.two.totalRuns() > 0);
 }
 
-TEST_CASE("paths without a route are 404, and nothing is refused that a route takes")
+TEST_CASE("a path without a route is answered with 404, and a path with a route is not refused")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
@@ -65,9 +65,9 @@
     });
 }
 
-// A node starts while the platform's store is away. It answered 404 to every request, and callers took their routes for
-// gone and did not come back.
-TEST_CASE("a node without routes is not ready, and says that nothing ran")
+// Guards against a node that starts while the store is unavailable and answers 404 to every request: callers conclude
+// that their routes are gone, and don't retry.
+TEST_CASE("a node without routes is not ready, and says that the request did not run")
 {
     SidecarFixture fixture;
     FakeUpstream &upstream = fixture.addUpstream("i-1");
@@ -85,8 +85,8 @@
     });
 }
 
-// Guards against callers that were turned away together while a fleet starts, and come back at the same moment.
-TEST_CASE("callers of a node without routes are told to come back at different times")
+// Guards against callers that are refused together while a fleet starts, and retry at the same moment.
+TEST_CASE("callers of a node without routes are told to retry at different times")
 {
     constexpr int Callers = 8;
     SidecarFixture fixture;
@@ -102,13 +102,13 @@
     });
 }
 
-// An upstream runs a payment and its connection breaks before the answer. The node sent the payment to the next
-// upstream, and the household was charged twice.
+// Guards against charging a household twice: an upstream runs a payment, its connection breaks before the answer, and
+// the node sends the payment to the next upstream.
 TEST_CASE("a payment that may have run is not sent again, and its caller is not told that it did not run")
 {
     Deployment deployment;
-    deployment.one.breaks = true;
-    deployment.two.breaks = true;
+    deployment.one.disconnectsAfterRun = true;
+    deployment.two.disconnectsAfterRun = true;
     deployment.run([&]() -> asio::awaitable<void> {
         const Reply reply = co_await deployment.send(deployment.first.callers, "POST", "/pay/1", "p");
         CHECK(reply.status == 502);
@@ -117,10 +117,10 @@
     CHECK(deployment.runs("p") == 1);
 }
 
-TEST_CASE("a read that failed on the way is repeated at another upstream")
+TEST_CASE("a read whose upstream disconnected is retried at another upstream")
 {
     Deployment deployment;
-    deployment.one.breaks = true;
+    deployment.one.disconnectsAfterRun = true;
     deployment.run([&]() -> asio::awaitable<void> {
         int served = 0;
         for (int count = 0; count < 10; ++count) {
@@ -132,7 +132,7 @@
     });
 }
 
-TEST_CASE("what an upstream refused before it ran goes to another one, payments as well")
+TEST_CASE("a request that an upstream refused before it ran goes to another upstream, also a payment")
 {
     Deployment deployment;
     deployment.one.status = 503;
@@ -140,7 +140,7 @@
         for (int count = 0; count < 8; ++count) {
             const std::string id = "p" + std::to_string(count);
             const Reply reply = co_await deployment.send(deployment.first.callers, "POST", "/pay/1", id);
-            // The shared budget of repeats may be used up; then the refusal is a true one.
+            // The shared retry budget may be used up. Then the caller gets the refusal, and the payment has not run.
             CHECK((reply.status == 200 || reply.status == 503));
             CHECK(deployment.runs(id) == (reply.status == 200 ? 1 : 0));
         }
@@ -148,24 +148,26 @@
     CHECK(deployment.two.totalRuns() >= 6);
 }
 
-// Something else answers at the upstream's address, or a proxy in between: its success is not the upstream's.
-TEST_CASE("a success that is not the upstream's own does not reach a caller as one")
+// Guards against passing on a success that is not the upstream's: another program answers at the upstream's address, or
+// a proxy in between does.
+TEST_CASE("a success without the upstream's signature does not reach a caller as a success")
 {
     Deployment deployment;
-    deployment.one.unsigned_ = true;
-    deployment.two.unsigned_ = true;
+    deployment.one.omitsSignature = true;
+    deployment.two.omitsSignature = true;
     deployment.run([&]() -> asio::awaitable<void> {
         checkStatus(co_await deployment.send(deployment.first.callers, "POST", "/pay/1", "p"), 502);
     });
 }
 
-// The VM beside the caller is four times slower for the moment. Its node knows, and passes reads on to the next one.
-TEST_CASE("a slow VM's node declines while another upstream is quicker")
+// Guards against slow answers from a VM that is four times slower for a while: its node knows this, and must pass reads
+// on to the next upstream.
+TEST_CASE("the node of a slow VM declines requests while another upstream is faster")
 {
     Deployment deployment;
     deployment.one.slowdown = 400;
-    deployment.one.work = Milliseconds(80);
-    deployment.two.work = Milliseconds(20);
+    deployment.one.runDuration = Milliseconds(80);
+    deployment.two.runDuration = Milliseconds(20);
     deployment.run([&]() -> asio::awaitable<void> {
         for (int count = 0; count < 12; ++count) {
             const Reply reply =
@@ -176,12 +178,13 @@
     CHECK(deployment.two.totalRuns() >= 10);
 }
 
-// A caller leaves after 50 ms. The upstream worked on for nobody, and its slot was missing to those who still waited.
-TEST_CASE("a caller that leaves ends the work for it, also behind another node")
+// Guards against work for callers that have disconnected: a caller disconnects after 50 ms, the upstream goes on with
+// its request, and callers that still wait can't use the slot.
+TEST_CASE("when a caller disconnects, its request is cancelled at the upstream, also behind another node")
 {
     Deployment deployment;
-    deployment.one.work = Milliseconds(600);
-    deployment.two.work = Milliseconds(600);
+    deployment.one.runDuration = Milliseconds(600);
+    deployment.two.runDuration = Milliseconds(600);
     deployment.run([&]() -> asio::awaitable<void> {
         HttpConnectionPool pool(co_await asio::this_coro::executor, HttpPoolLimits());
         for (int count = 0; count < 4; ++count) {
@@ -196,28 +199,28 @@
             co_await deployment.sleep(Milliseconds(50));
             opened.value()->cancel();
         }
-        checkHappened(
-            co_await deployment.until([&] { return deployment.one.cancelled() + deployment.two.cancelled() == 4; }));
+        checkHappened(co_await deployment.waitUntil(
+            [&] { return deployment.one.cancelledRuns() + deployment.two.cancelledRuns() == 4; }));
     });
 }
 
-TEST_CASE("a request that lasts longer than its route allows gets an answer in time")
+TEST_CASE("a request that runs longer than its route's timeout is answered with 504 in time")
 {
     Deployment deployment;
-    deployment.one.work = Milliseconds(3000);
-    deployment.two.work = Milliseconds(3000);
+    deployment.one.runDuration = Milliseconds(3000);
+    deployment.two.runDuration = Milliseconds(3000);
     deployment.run([&]() -> asio::awaitable<void> {
-        const TimePoint begun = std::chrono::steady_clock::now();
+        const TimePoint startedAt = std::chrono::steady_clock::now();
         const Reply reply =
             co_await deployment.send(deployment.first.callers, "POST", "/pay/1", "p", Milliseconds(2500));
-        const auto took = std::chrono::steady_clock::now() - begun;
+        const auto took = std::chrono::steady_clock::now() - startedAt;
         CHECK(reply.status == 504);
         CHECK(took >= Milliseconds(750));
         CHECK(took < Milliseconds(1100));
     });
 }
 
-TEST_CASE("an upstream that is gone from the list gets nothing more")
+TEST_CASE("an upstream that was removed from the list gets no more requests")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
@@ -231,12 +234,13 @@
     CHECK(deployment.one.totalRuns() == 0);
 }
 
-// A planned stop cut the requests that were under way, and those that came before the platform had noticed.
-TEST_CASE("a node that stops is not ready at once, finishes what it has and serves on for a while")
+// Guards against a planned stop that cuts off requests: those in progress, and those that arrive before the platform
+// has noticed the stop.
+TEST_CASE("a node that stops is at once not ready, finishes its requests and serves new ones for a while")
 {
     Deployment deployment;
-    deployment.one.work = Milliseconds(150);
-    deployment.two.work = Milliseconds(150);
+    deployment.one.runDuration = Milliseconds(150);
+    deployment.two.runDuration = Milliseconds(150);
     deployment.run([&]() -> asio::awaitable<void> {
         int answered = 0;
         int asked = 0;
@@ -256,41 +260,42 @@
             asio::co_spawn(executor, ask, asio::detached);
             co_await deployment.sleep(Milliseconds(40));
         }
-        checkHappened(co_await deployment.until([&] { return answered == asked; }));
+        checkHappened(co_await deployment.waitUntil([&] { return answered == asked; }));
     });
 }
 
-// Two reports come while their node stops. Both were passed on; one took longer than the grace time had left, and its
-// caller's connection broke though the upstream had answered.
-TEST_CASE("a node that stops refuses what may outlast it and answers the rest")
+// Guards against passing on a request that may take longer than the rest of the grace time. Two requests come while
+// their node stops; if both are passed on, the longer one loses its caller's connection though its upstream answers.
+TEST_CASE("a node that stops refuses requests that may outlast it and answers the others")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
         deployment.first.sidecar->stop();
-        // The route's timeout of 800 ms reaches beyond the grace time of 1,200 from here on.
+        // From now on the route's timeout of 800 ms ends after the grace time of 1,200 ms.
         co_await deployment.sleep(Milliseconds(300));
-        const Reply quick =
+        const Reply shortRequest =
             co_await deployment.send(deployment.first.callers, "GET", "/read/1", "r1", Milliseconds(400));
-        CHECK(quick.status == 200);
-        const Reply outlasting =
+        CHECK(shortRequest.status == 200);
+        const Reply longRequest =
             co_await deployment.send(deployment.first.callers, "POST", "/pay/1", "r2", Milliseconds(8000));
-        CHECK(outlasting.status == 503);
-        CHECK(outlasting.headers.contains("Retry-After"));
+        CHECK(longRequest.status == 503);
+        CHECK(longRequest.headers.contains("Retry-After"));
         CHECK(deployment.one.runs("r2") + deployment.two.runs("r2") == 0);
     });
 }
 
-// Guards against requests that wait beside an upstream while it leaves, and reach it long after it said so.
-TEST_CASE("requests that wait beside an upstream that leaves go to another one")
+// Guards against requests that are queued beside an upstream when it starts to drain, and reach it long after it
+// announced this.
+TEST_CASE("requests that are queued beside an upstream that drains go to another upstream")
 {
-    constexpr int TakenAtOnce = 4;
-    constexpr int Waiting = 2;
+    constexpr int RunningRequests = 4;
+    constexpr int QueuedRequests = 2;
     Deployment deployment;
-    deployment.one.work = Milliseconds(200);
+    deployment.one.runDuration = Milliseconds(200);
     deployment.catalog.remove("i-2");
     deployment.run([&]() -> asio::awaitable<void> {
         int answered = 0;
-        for (int number = 0; number < TakenAtOnce + Waiting; ++number) {
+        for (int number = 0; number < RunningRequests + QueuedRequests; ++number) {
             asio::co_spawn(
                 co_await asio::this_coro::executor,
                 [&deployment, &answered, number]() -> asio::awaitable<void> {
@@ -300,49 +305,50 @@
                 },
                 asio::detached);
         }
-        checkHappened(co_await deployment.until([&] { return deployment.one.totalRuns() == TakenAtOnce; }));
-        // The others arrive behind them.
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.one.totalRuns() == RunningRequests; }));
+        // Time for the other requests to arrive and be queued.
         co_await deployment.sleep(Milliseconds(20));
         deployment.catalog.add(deployment.two, deployment.second.peers, "statements");
         deployment.catalog.publishList();
         deployment.catalog.drain("i-1");
-        checkHappened(co_await deployment.until([&] { return answered == TakenAtOnce + Waiting; }));
-        CHECK(deployment.one.totalRuns() == TakenAtOnce);
-        CHECK(deployment.two.totalRuns() == Waiting);
+        checkHappened(co_await deployment.waitUntil([&] { return answered == RunningRequests + QueuedRequests; }));
+        CHECK(deployment.one.totalRuns() == RunningRequests);
+        CHECK(deployment.two.totalRuns() == QueuedRequests);
     });
 }
 
-// Guards against an upstream that leaves and gets requests by an old list, though the node beside it knows better.
-TEST_CASE("a node whose list is old sends nothing to an upstream that leaves")
+// Guards against an upstream that drains and still gets requests from a node with an old list, though the node beside
+// the upstream knows that it drains.
+TEST_CASE("a node whose list is old sends no requests to an upstream that drains")
 {
     constexpr int Requests = 20;
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        checkHappened(co_await deployment.until([&] { return deployment.catalog.readers() == 1; }));
-        const bool firstReads = deployment.catalog.reads(0);
+        checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
+        const bool firstReads = deployment.catalog.isReading(0);
         const FakeNode &reader = firstReads ? deployment.first : deployment.second;
-        FakeUpstream &leaving = firstReads ? deployment.two : deployment.one;
-        // So that a request goes to the other one if it may.
+        FakeUpstream &draining = firstReads ? deployment.two : deployment.one;
+        // The upstream beside the reader refuses everything, so that requests go to the draining one if they may.
         (firstReads ? deployment.one : deployment.two).status = 503;
-        deployment.catalog.silence(firstReads ? 0 : 1);
-        deployment.catalog.drainOnly(firstReads ? 1 : 0, leaving.id());
+        deployment.catalog.stopUpdatesTo(firstReads ? 0 : 1);
+        deployment.catalog.announceDrainOnlyTo(firstReads ? 1 : 0, draining.id());
         for (int number = 0; number < Requests; ++number) {
             checkStatus(co_await deployment.send(reader.callers, "POST", "/pay/1", "old-" + std::to_string(number)),
                         503);
         }
-        CHECK(leaving.totalRuns() == 0);
+        CHECK(draining.totalRuns() == 0);
     });
 }
 
 namespace
 {
 
-/// Until the nodes beside both upstreams have seen that these count their requests.
-asio::awaitable<void> showCounting(Deployment &deployment)
+/// Sends enough requests for the nodes beside both upstreams to see that the upstreams report how many they run.
+asio::awaitable<void> sendCountedRequests(Deployment &deployment)
 {
     constexpr int Requests = 8;
-    deployment.one.work = Milliseconds(200);
-    deployment.two.work = Milliseconds(200);
+    deployment.one.runDuration = Milliseconds(200);
+    deployment.two.runDuration = Milliseconds(200);
     int answered = 0;
     for (int number = 0; number < Requests; ++number) {
         asio::co_spawn(
@@ -355,23 +361,23 @@
             asio::detached);
         co_await deployment.sleep(Milliseconds(70));
     }
-    checkHappened(co_await deployment.until([&] { return answered == Requests; }));
+    checkHappened(co_await deployment.waitUntil([&] { return answered == Requests; }));
     CHECK(deployment.one.totalRuns() > 0);
     CHECK(deployment.two.totalRuns() > 0);
-    deployment.one.work = Milliseconds(5);
-    deployment.two.work = Milliseconds(5);
+    deployment.one.runDuration = Milliseconds(5);
+    deployment.two.runDuration = Milliseconds(5);
 }
 
 }
 
-// Guards against waiting out the silence of an upstream that dropped a request without a word.
-TEST_CASE("reads that an upstream has lost are answered by another one before their timeout")
+// Guards against waiting until the timeout for an upstream that dropped a request without an answer.
+TEST_CASE("reads that an upstream has lost are answered by another upstream before their timeout")
 {
     constexpr int Reads = 4;
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        co_await showCounting(deployment);
-        deployment.one.loses = true;
+        co_await sendCountedRequests(deployment);
+        deployment.one.neverAnswers = true;
         for (int number = 0; number < Reads; ++number) {
             const std::string id = "read-" + std::to_string(number);
             const Reply reply = co_await deployment.send(deployment.first.callers, "GET", "/read/1", id);
@@ -380,19 +386,19 @@
     });
 }
 
-// Guards against leaving a payment's caller without an answer until its timeout though its outcome can't be known any
+// Guards against leaving a payment's caller without an answer until its timeout, though the outcome can't be known any
 // more.
-TEST_CASE("a payment that its upstream has lost ends as unknown as soon as that shows, and is not sent again")
+TEST_CASE("a payment that its upstream has lost ends as unknown as soon as the loss is noticed, and is not sent again")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
-        co_await showCounting(deployment);
-        deployment.one.loses = true;
-        deployment.two.loses = true;
-        const TimePoint begun = std::chrono::steady_clock::now();
+        co_await sendCountedRequests(deployment);
+        deployment.one.neverAnswers = true;
+        deployment.two.neverAnswers = true;
+        const TimePoint startedAt = std::chrono::steady_clock::now();
         const Reply reply = co_await deployment.send(deployment.first.callers, "POST", "/pay/1", "lost");
         CHECK(reply.status == 502);
-        CHECK(std::chrono::steady_clock::now() - begun < Milliseconds(750));
+        CHECK(std::chrono::steady_clock::now() - startedAt < Milliseconds(750));
         CHECK(deployment.runs("lost") == 0);
     });
 }
--- a/tests/sidecar/wirefields.h
+++ b/tests/sidecar/wirefields.h
@@ -5,7 +5,7 @@
 namespace Egretpath
 {
 
-/// The field that names an attempt, as callers and upstreams of the tests write it.
+/// The header field that carries the id of an attempt, as callers and upstreams of the tests send it.
 inline constexpr std::string_view AttemptId = "X-Egretpath-Attempt-Id";
 
 }
