--- a/src/sidecar/catalogcontents.cpp
+++ b/src/sidecar/catalogcontents.cpp
@@ -9,12 +9,12 @@
 {
 
 CatalogContents::CatalogContents(SidecarState &state, const CatalogSource &source, CatalogLog &log,
-                                 std::function<void()> listChanged, std::function<void()> changed)
+                                 std::function<void()> onListChanged, std::function<void()> onChanged)
     : state_(state)
     , source_(source)
     , log_(log)
-    , listChanged_(std::move(listChanged))
-    , changed_(std::move(changed))
+    , onListChanged_(std::move(onListChanged))
+    , onChanged_(std::move(onChanged))
 {
 }
 
@@ -32,20 +32,20 @@
 
 bool CatalogContents::isBehind(const CatalogVersions &versions) const
 {
-    const CatalogVersions has = this->versions();
-    return has.routes < versions.routes || has.list < versions.list;
+    const CatalogVersions own = this->versions();
+    return own.routes < versions.routes || own.list < versions.list;
 }
 
-bool CatalogContents::hasNewsFor(const CatalogVersions &have) const
+bool CatalogContents::hasUpdatesFor(const CatalogVersions &have) const
 {
-    const CatalogVersions has = versions();
+    const CatalogVersions own = versions();
     const bool needsAll = have.routes.value() == 0 && have.list.value() == 0;
-    const bool newerRoutes = has.routes > have.routes;
-    const bool newerList = has.list > have.list;
+    const bool newerRoutes = own.routes > have.routes;
+    const bool newerList = own.list > have.list;
     return needsAll ? newerRoutes && newerList : newerRoutes || newerList;
 }
 
-void CatalogContents::writeNews(const CatalogVersions &have, Catalog &catalog) const
+void CatalogContents::writeUpdates(const CatalogVersions &have, Catalog &catalog) const
 {
     catalog.has = versions();
     if (catalog.has.routes > have.routes) {
@@ -60,20 +60,20 @@
     }
 }
 
-void CatalogContents::takeRoutesRead(PublishedRoutes routes)
+void CatalogContents::applyRoutesFromStore(PublishedRoutes routes)
 {
-    // A stale read must not take back what is in force.
+    // A stale read must not replace newer active routes.
     if (routes.table->version() <= versions().routes) {
         return;
     }
-    NewsOrigin origin;
+    UpdateOrigin origin;
     origin.bytes = routes.text.size();
-    putInForce(std::move(routes.table), packRoutes(routes.text), origin);
+    activateRoutes(std::move(routes.table), packRoutes(routes.text), origin);
 }
 
-void CatalogContents::takeRoutes(const Endpoint &peer, const Catalog &catalog)
+void CatalogContents::applyRoutesFromPeer(const Endpoint &peer, const Catalog &catalog)
 {
-    // Reading many routes takes a small VM long.
+    // Parsing many routes takes long on a small VM, so routes that are not newer are not parsed.
     if (catalog.routes.empty() || catalog.has.routes <= versions().routes) {
         return;
     }
@@ -81,49 +81,49 @@
     Result<PublishedRoutes> routes =
         text ? source_.readRoutes(std::move(text).value()) : Result<PublishedRoutes>(text.error());
     if (!routes) {
-        log_.entryRefused(peer.value(), routes.error().detail);
+        log_.logRefusedEntry(peer.value(), routes.error().detail);
         return;
     }
-    // What the peer says that it has is not proof of it.
+    // The version that the peer announced may differ from that of the routes it sent.
     if (routes.value().table->version() > versions().routes) {
-        putInForce(std::move(routes.value().table), catalog.routes,
-                   {peer.value(), catalog.routesAge, catalog.routes.bytes.size()});
+        activateRoutes(std::move(routes.value().table), catalog.routes,
+                       {peer.value(), catalog.routesAge, catalog.routes.bytes.size()});
     }
 }
 
-void CatalogContents::putInForce(RouteTablePointer table, PackedRoutes packed, const NewsOrigin &origin)
+void CatalogContents::activateRoutes(RouteTablePointer table, PackedRoutes packed, const UpdateOrigin &origin)
 {
-    log_.routesInForce(*table, versions().routes, origin);
+    log_.logRoutes(*table, versions().routes, origin);
     routesReadAt_ = currentTime() - origin.age;
     state_.routes = std::move(table);
     state_.packedRoutes = std::move(packed);
-    changed_();
+    onChanged_();
 }
 
-void CatalogContents::takeListRead(const InstanceSnapshot &snapshot)
+void CatalogContents::applyListFromStore(const InstanceSnapshot &snapshot)
 {
-    applyWhole(snapshot, {});
+    replaceList(snapshot, {});
 }
 
-void CatalogContents::takeChangesRead(const std::vector<InstanceChange> &changes, StoreRevision reached)
+void CatalogContents::applyChangesFromStore(const std::vector<InstanceChange> &changes, StoreRevision reached)
 {
     applyChanges(changes, reached, {});
 }
 
-bool CatalogContents::take(const Endpoint &peer, const Catalog &catalog)
+bool CatalogContents::applyFromPeer(const Endpoint &peer, const Catalog &catalog)
 {
-    const RouteVersion before = versions().routes;
-    takeRoutes(peer, catalog);
-    const bool listIsNew = takeList(peer, catalog);
-    return listIsNew || before < versions().routes;
+    const RouteVersion routesBefore = versions().routes;
+    applyRoutesFromPeer(peer, catalog);
+    const bool isListNew = applyListFromPeer(peer, catalog);
+    return isListNew || routesBefore < versions().routes;
 }
 
-bool CatalogContents::takeList(const Endpoint &peer, const Catalog &catalog)
+bool CatalogContents::applyListFromPeer(const Endpoint &peer, const Catalog &catalog)
 {
     if (catalog.has.list <= versions().list) {
         return false;
     }
-    const NewsOrigin origin{peer.value(), catalog.listAge};
+    const UpdateOrigin origin{peer.value(), catalog.listAge};
     if (!catalog.whole) {
         return applyChanges(catalog.changes, catalog.has.list, origin);
     }
@@ -134,68 +134,68 @@
             snapshot.records.push_back(*change.record);
         }
     }
-    return applyWhole(snapshot, origin);
+    return replaceList(snapshot, origin);
 }
 
-bool CatalogContents::applyWhole(const InstanceSnapshot &snapshot, const NewsOrigin &origin)
+bool CatalogContents::replaceList(const InstanceSnapshot &snapshot, const UpdateOrigin &origin)
 {
     const bool applied = state_.directory.applySnapshot(snapshot, currentTime());
     if (applied) {
         listReadAt_ = currentTime() - origin.age;
-        log_.listRead(origin);
-        log_.wholeList(state_.directory, origin.from, "whole");
-        noteListChanged();
+        log_.recordListAge(origin);
+        log_.logList(state_.directory, origin.from, "whole");
+        notifyListChanged();
     }
     return applied;
 }
 
 bool CatalogContents::applyChanges(const std::vector<InstanceChange> &changes, StoreRevision reached,
-                                   const NewsOrigin &origin)
+                                   const UpdateOrigin &origin)
 {
-    bool any = false;
+    bool anyApplied = false;
     for (const InstanceChange &change : changes) {
         if (!state_.directory.applyChange(change, currentTime())) {
             continue;
         }
-        any = true;
-        log_.upstreamChanged(change, origin);
+        anyApplied = true;
+        log_.logUpstreamChange(change, origin);
     }
     state_.directory.reached(reached);
-    if (any) {
+    if (anyApplied) {
         listReadAt_ = currentTime() - origin.age;
-        log_.listRead(origin);
-        noteListChanged();
+        log_.recordListAge(origin);
+        notifyListChanged();
     }
-    return any;
+    return anyApplied;
 }
 
 void CatalogContents::expire()
 {
     if (state_.directory.expire(currentTime())) {
-        log_.wholeList(state_.directory, NewsOrigin::Platform, "lapsed");
-        noteListChanged();
+        log_.logList(state_.directory, UpdateOrigin::Platform, "lapsed");
+        notifyListChanged();
     }
 }
 
-void CatalogContents::noteListChanged()
+void CatalogContents::notifyListChanged()
 {
-    listChanged_();
-    changed_();
+    onListChanged_();
+    onChanged_();
 }
 
-bool CatalogContents::removesSilently(const Catalog &catalog) const
+bool CatalogContents::removesReadyUpstreams(const Catalog &catalog) const
 {
     std::set<UpstreamName> listed;
     std::set<UpstreamName> removed;
     for (const InstanceChange &change : catalog.changes) {
         (change.record ? listed : removed).insert(change.id);
     }
-    bool silently = false;
+    bool removesReady = false;
     state_.directory.forEachReady([&](const InstanceRecord &record) {
-        const bool vanishes = catalog.whole ? !listed.contains(record.id) : removed.contains(record.id);
-        silently = silently || vanishes;
+        const bool isRemoved = catalog.whole ? !listed.contains(record.id) : removed.contains(record.id);
+        removesReady = removesReady || isRemoved;
     });
-    return silently;
+    return removesReady;
 }
 
 }
--- a/src/sidecar/catalogcontents.h
+++ b/src/sidecar/catalogcontents.h
@@ -12,49 +12,50 @@
 namespace Egretpath
 {
 
-/// The routes and the list that a node has: puts news in force, whoever brings it, and gives others what they lack.
+/// The routes and the instance list of a node. Applies updates from the store and from other nodes, and writes the
+/// updates that another node lacks.
 ///
-/// Routes never go back: only a larger version replaces those in force. Thread safety: none. Precondition: references
-/// outlive it. Errors: what can't be used is logged, and what was in force stays.
+/// Routes never go back: only a larger version replaces the active one. Thread safety: none. Precondition: references
+/// outlive the object. Errors: an update that can't be used is logged, and the active routes and list stay.
 class CatalogContents
 {
 public:
-    /// @p changed is called after each change, @p listChanged before it when the list is another one.
+    /// @p onChanged is called after each change. If the list changed, @p onListChanged is called just before it.
     CatalogContents(SidecarState &state, const CatalogSource &source, CatalogLog &log,
-                    std::function<void()> listChanged, std::function<void()> changed);
-
-    /// Read from the store by this node.
-    void takeRoutesRead(PublishedRoutes routes);
-    void takeListRead(const InstanceSnapshot &snapshot);
-    void takeChangesRead(const std::vector<InstanceChange> &changes, StoreRevision reached);
-    /// Takes what @p peer has. Returns whether anything was new.
-    bool take(const Endpoint &peer, const Catalog &catalog);
-    /// Drops held records whose time is over.
+                    std::function<void()> onListChanged, std::function<void()> onChanged);
+
+    /// The next three functions apply what this node itself read from the store.
+    void applyRoutesFromStore(PublishedRoutes routes);
+    void applyListFromStore(const InstanceSnapshot &snapshot);
+    void applyChangesFromStore(const std::vector<InstanceChange> &changes, StoreRevision reached);
+    /// Applies the updates of @p catalog, an answer of @p peer. Returns whether anything was new.
+    bool applyFromPeer(const Endpoint &peer, const Catalog &catalog);
+    /// Drops held records whose hold time is over.
     void expire();
 
     [[nodiscard]] CatalogVersions versions() const;
     [[nodiscard]] bool isBehind(const CatalogVersions &versions) const;
-    /// Whether there is anything for an asker that has @p have; one that has nothing needs all.
-    [[nodiscard]] bool hasNewsFor(const CatalogVersions &have) const;
-    /// Writes what an asker that has @p have lacks.
-    void writeNews(const CatalogVersions &have, Catalog &catalog) const;
-    /// Whether upstreams vanish with @p catalog that did not say that they leave.
-    [[nodiscard]] bool removesSilently(const Catalog &catalog) const;
+    /// Whether there is an update for a node that has @p have. A node that has nothing needs routes and list together.
+    [[nodiscard]] bool hasUpdatesFor(const CatalogVersions &have) const;
+    /// Writes to @p catalog what a node that has @p have lacks.
+    void writeUpdates(const CatalogVersions &have, Catalog &catalog) const;
+    /// Whether @p catalog removes upstreams that did not announce that they drain.
+    [[nodiscard]] bool removesReadyUpstreams(const Catalog &catalog) const;
 
 private:
-    void takeRoutes(const Endpoint &peer, const Catalog &catalog);
-    bool takeList(const Endpoint &peer, const Catalog &catalog);
-    void putInForce(RouteTablePointer table, PackedRoutes packed, const NewsOrigin &origin);
-    bool applyChanges(const std::vector<InstanceChange> &changes, StoreRevision reached, const NewsOrigin &origin);
-    bool applyWhole(const InstanceSnapshot &snapshot, const NewsOrigin &origin);
-    void noteListChanged();
+    void applyRoutesFromPeer(const Endpoint &peer, const Catalog &catalog);
+    bool applyListFromPeer(const Endpoint &peer, const Catalog &catalog);
+    void activateRoutes(RouteTablePointer table, PackedRoutes packed, const UpdateOrigin &origin);
+    bool applyChanges(const std::vector<InstanceChange> &changes, StoreRevision reached, const UpdateOrigin &origin);
+    bool replaceList(const InstanceSnapshot &snapshot, const UpdateOrigin &origin);
+    void notifyListChanged();
 
     SidecarState &state_;
     const CatalogSource &source_;
     CatalogLog &log_;
-    std::function<void()> listChanged_;
-    std::function<void()> changed_;
-    /// When a node read the routes in force, and the newest change of the list, from the store.
+    std::function<void()> onListChanged_;
+    std::function<void()> onChanged_;
+    /// When a node, this one or another, read the active routes and the newest change of the list from the store.
     TimePoint routesReadAt_;
     TimePoint listReadAt_;
 };
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -19,8 +19,9 @@
 namespace
 {
 
-/// Peers asked in one round. One may be cut off itself; with two the news passes through a fleet in a few rounds.
-constexpr std::size_t PeersInRound = 2;
+/// Peers asked in one round. One of them may be cut off itself. With two, an update spreads through a fleet in a few
+/// rounds.
+constexpr std::size_t PeersPerRound = 2;
 
 SourceReport reportOf(const Catalog &catalog)
 {
@@ -30,42 +31,42 @@
 }
 
 CatalogController::CatalogController(asio::any_io_executor executor, SidecarState &state, CatalogSource &source,
-                                     PeerClient &peers, const DecisionSettings &decisions,
-                                     std::function<void()> changed)
+                                     PeerClient &peerClient, const DecisionSettings &decisions,
+                                     std::function<void()> onChanged)
     : executor_(executor)
     , state_(state)
     , source_(source)
-    , peers_(peers)
+    , peerClient_(peerClient)
     , times_(decisions.catalog)
     , log_(state.log, state.metrics)
-    , changed_(std::move(changed))
+    , onChanged_(std::move(onChanged))
     , contents_(
           state, source, log_, [this] { listChanged(); }, [this] { contentsChanged(); })
     , plan_(state.location.region, decisions.readers, decisions.catalog, Random(state.random()))
-    , seeds_(executor, state, times_, seedInquirer())
-    , started_(currentTime())
-    , news_(executor, asio::steady_timer::time_point::max())
+    , bootstrap_(executor, state, times_, bootstrapCallbacks())
+    , startedAt_(currentTime())
+    , changeSignal_(executor, asio::steady_timer::time_point::max())
 {
 }
 
-SeedInquirer CatalogController::seedInquirer()
+CatalogBootstrapCallbacks CatalogController::bootstrapCallbacks()
 {
-    SeedInquirer inquirer;
-    inquirer.ask = [this](Endpoint seed) {
-        const CatalogRequest wanted = request(times_.seedWait, StoreState::Available);
-        return ask(std::move(seed), wanted, times_.seedWait + times_.followMargin);
+    CatalogBootstrapCallbacks callbacks;
+    callbacks.ask = [this](Endpoint seed) {
+        const CatalogRequest catalogRequest = makeRequest(times_.seedWait, StoreState::Available);
+        return ask(std::move(seed), catalogRequest, times_.seedWait + times_.followMargin);
     };
-    inquirer.take = [this](const Endpoint &seed, const Catalog &catalog) { followIfComplete(seed, catalog); };
-    inquirer.follows = [this] { return plan_.following().has_value(); };
-    inquirer.hasRoutes = [this] { return contents_.versions().routes.value() > 0; };
-    return inquirer;
+    callbacks.applyAnswer = [this](const Endpoint &seed, const Catalog &catalog) { followIfComplete(seed, catalog); };
+    callbacks.isFollowing = [this] { return plan_.following().has_value(); };
+    callbacks.hasRoutes = [this] { return contents_.versions().routes.value() > 0; };
+    return callbacks;
 }
 
 void CatalogController::start()
 {
     source_.attach(*this);
-    asio::co_spawn(executor_, watchOver(), asio::detached);
-    asio::co_spawn(executor_, begin(), asio::detached);
+    asio::co_spawn(executor_, runPeriodicChecks(), asio::detached);
+    asio::co_spawn(executor_, bootstrapAndFollow(), asio::detached);
 }
 
 std::string CatalogController::sourceName() const
@@ -73,7 +74,7 @@
     if (plan_.following()) {
         return plan_.following()->value();
     }
-    return plan_.ownLostSince() ? "lost" : std::string(NewsOrigin::Platform);
+    return plan_.ownLostSince() ? "lost" : std::string(UpdateOrigin::Platform);
 }
 
 StoreState CatalogController::storeState() const
@@ -84,21 +85,21 @@
 
 asio::awaitable<Catalog> CatalogController::answer(CatalogRequest request)
 {
-    const TimePoint asked = currentTime();
-    const TimePoint end = asked + request.wait;
-    asio::steady_timer limit(executor_, end);
-    limit.async_wait([this](const boost::system::error_code &error) {
+    const TimePoint askedAt = currentTime();
+    const TimePoint deadline = askedAt + request.wait;
+    asio::steady_timer waitTimer(executor_, deadline);
+    waitTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            wakeAskers();
+            wakeWaitingRequests();
         }
     });
-    // A node that has just started waits as well: it may have read all in a moment.
-    const auto storeIsNews = [this, &request] {
+    // A node that has just started makes the request wait as well: it may soon have read everything.
+    const auto hasNewStoreState = [this, &request] {
         return storeState() != request.known && (state_.directory.hasList() || plan_.ownLostSince());
     };
-    while (!contents_.hasNewsFor(request.have) && !storeIsNews() && currentTime() < end) {
+    while (!contents_.hasUpdatesFor(request.have) && !hasNewStoreState() && currentTime() < deadline) {
         boost::system::error_code ignored;
-        co_await news_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await changeSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
     Catalog catalog;
     catalog.store = state_.directory.hasList() ? storeState() : StoreState::Unavailable;
@@ -107,8 +108,8 @@
     catalog.storeAge = plan_.age(currentTime());
     catalog.storeAvailableFor = plan_.storeAvailableFor(currentTime());
     catalog.quarantine = state_.quarantine.digest();
-    catalog.held = timeSince(asked);
-    contents_.writeNews(request.have, catalog);
+    catalog.held = timeSince(askedAt);
+    contents_.writeUpdates(request.have, catalog);
     co_return catalog;
 }
 
@@ -117,49 +118,49 @@
     if (!contents_.isBehind(versions)) {
         return;
     }
-    const TimePoint since = ahead_ ? ahead_->since : currentTime();
-    ahead_ = Ahead{peer, versions, since};
+    const TimePoint since = newerPeer_ ? newerPeer_->since : currentTime();
+    newerPeer_ = NewerPeer{peer, versions, since};
 }
 
 void CatalogController::routesRead(PublishedRoutes routes)
 {
     plan_.recordStoreRead(currentTime());
-    contents_.takeRoutesRead(std::move(routes));
+    contents_.applyRoutesFromStore(std::move(routes));
 }
 
 void CatalogController::listRead(const InstanceSnapshot &snapshot)
 {
     plan_.recordStoreRead(currentTime());
-    contents_.takeListRead(snapshot);
+    contents_.applyListFromStore(snapshot);
 }
 
 void CatalogController::changesRead(const std::vector<InstanceChange> &changes, StoreRevision reached)
 {
-    contents_.takeChangesRead(changes, reached);
-    wakeAskers();
+    contents_.applyChangesFromStore(changes, reached);
+    wakeWaitingRequests();
 }
 
 void CatalogController::listChanged()
 {
     const std::optional<Endpoint> before = plan_.following();
     const bool isListed = state_.directory.findByAddress(state_.settings.upstream) != nullptr;
-    plan_.listChanged(state_.directory, state_.ownNode(), isListed);
-    logFollowing(before, "this node reads for others");
+    plan_.listChanged(state_.directory, state_.ownAddress(), isListed);
+    logFollowingChange(before, "this node reads for others");
     applyReading();
 }
 
 void CatalogController::contentsChanged()
 {
-    wakeAskers();
-    changed_();
+    wakeWaitingRequests();
+    onChanged_();
 }
 
-void CatalogController::sourceLost(std::string_view why)
+void CatalogController::sourceLost(std::string_view reason)
 {
     plan_.ownReadingLost(currentTime());
-    log_.sourceLost(why);
+    log_.logSourceLost(reason);
     applyStoreState();
-    wakeAskers();
+    wakeWaitingRequests();
 }
 
 void CatalogController::sourceBack()
@@ -167,18 +168,19 @@
     const std::optional<Endpoint> before = plan_.following();
     const auto since = plan_.ownLostSince();
     plan_.ownReadingBack(currentTime());
-    log_.sourceBack(since ? currentTime() - *since : Duration{0});
-    logFollowing(before, "this node reads for others");
+    log_.logSourceRestored(since ? currentTime() - *since : Duration{0});
+    logFollowingChange(before, "this node reads for others");
     applyStoreState();
-    wakeAskers();
+    wakeWaitingRequests();
 }
 
-/// Guards against a mass lapse: while the store is away, leases can't be renewed.
+/// Guards against mass expiry: while the store is unavailable, leases can't be renewed, so that those of upstreams that
+/// are alive expire.
 void CatalogController::applyStoreState()
 {
-    const bool readsInVain = reading_ != StoreReading::None && plan_.ownLostSince();
-    const bool lost = readsInVain || isCutOff_ || plan_.isStoreReportedUnavailable();
-    if (std::exchange(storeIsLost_, lost) == lost) {
+    const bool ownReadingFails = reading_ != StoreReading::None && plan_.ownLostSince();
+    const bool lost = ownReadingFails || isCutOff_ || plan_.isStoreReportedUnavailable();
+    if (std::exchange(isStoreLost_, lost) == lost) {
         return;
     }
     if (lost) {
@@ -186,20 +188,20 @@
     } else {
         state_.directory.storeBack(currentTime());
     }
-    log_.storeState(storeState());
-    wakeAskers();
+    log_.logStoreState(storeState());
+    wakeWaitingRequests();
 }
 
 void CatalogController::applyReading()
 {
-    if (!begun_) {
+    if (!hasBootstrapped_) {
         return;
     }
     const StoreReading wanted = plan_.reading();
     const bool reads = reading_ != StoreReading::None;
     const bool shouldRead = wanted != StoreReading::None;
     reading_ = wanted;
-    log_.reads(shouldRead);
+    log_.setReadsStore(shouldRead);
     if (shouldRead && !reads) {
         plan_.beginReading(currentTime());
         const bool standby = wanted == StoreReading::Standby;
@@ -210,7 +212,7 @@
     applyStoreState();
 }
 
-asio::awaitable<void> CatalogController::watchOver()
+asio::awaitable<void> CatalogController::runPeriodicChecks()
 {
     asio::steady_timer timer(executor_);
     while (true) {
@@ -221,12 +223,12 @@
             co_await askPeers();
         }
         if (plan_.wantsStoreProbe(currentTime())) {
-            co_await look();
+            co_await probeStore();
         }
-        if (ahead_ && !contents_.isBehind(ahead_->versions)) {
-            ahead_.reset();
+        if (newerPeer_ && !contents_.isBehind(newerPeer_->versions)) {
+            newerPeer_.reset();
         }
-        if (ahead_ && currentTime() - ahead_->since >= times_.aheadBeforeAsking) {
+        if (newerPeer_ && currentTime() - newerPeer_->since >= times_.aheadBeforeAsking) {
             co_await catchUp();
         }
     }
@@ -235,7 +237,7 @@
 bool CatalogController::needsPeers() const
 {
     const TimePoint now = currentTime();
-    // A whole region may have been without the store, and only others know that it was there.
+    // A whole region may have lost the store, and only nodes of other regions know that it was available.
     if (state_.directory.holdsRecords(now)) {
         return true;
     }
@@ -245,28 +247,29 @@
     if (plan_.ownLostSince()) {
         return now - *plan_.ownLostSince() >= times_.lossBeforeAsking;
     }
-    // A store that does not answer at all has not failed yet.
-    return !state_.isReady() && !state_.stopping && now - started_ >= times_.lossBeforeAsking;
+    // A store that does not answer at all has not reported an error yet, so the time since the start counts.
+    return !state_.isReady() && !state_.isStopping && now - startedAt_ >= times_.lossBeforeAsking;
 }
 
-asio::awaitable<void> CatalogController::begin()
+asio::awaitable<void> CatalogController::bootstrapAndFollow()
 {
-    co_await seeds_.run();
-    begun_ = true;
+    co_await bootstrap_.run();
+    hasBootstrapped_ = true;
     if (!plan_.following()) {
         reading_ = StoreReading::Usual;
-        source_.resume(StoreRevision(), false, seeds_.saidAway() ? times_.standbyInterval : times_.readerPause);
+        source_.resume(StoreRevision(), false,
+                       bootstrap_.isStoreReportedUnavailable() ? times_.standbyInterval : times_.readerPause);
     }
     applyReading();
     co_await followOthers();
 }
 
-/// While this node starts. Whatever the store is there: a node that takes news and follows nobody hears of nothing
-/// newer.
+/// Used while this node starts. Follows @p peer whatever the state of its store: a node that took routes but follows
+/// nobody would get no further updates.
 void CatalogController::followIfComplete(const Endpoint &peer, const Catalog &catalog)
 {
     if (catalog.has.routes.value() > 0) {
-        takeAnswer(peer, catalog);
+        handleAnswer(peer, catalog);
     }
 }
 
@@ -279,134 +282,138 @@
             query = plan_.nextQuery(currentTime());
             applyReading();
         }
-        // Not one expression: g++ 12 destroys the temporaries of a co_await in a branch that was not taken.
-        bool goesOn = false;
+        // This is not a single expression, since g++ 12 destroys the temporaries of a co_await in a branch that was not
+        // taken.
+        bool shouldContinue = false;
         if (query) {
-            goesOn = co_await askOnce(std::move(*query));
+            shouldContinue = co_await querySource(std::move(*query));
         }
-        if (!goesOn) {
+        if (!shouldContinue) {
             timer.expires_after(times_.followPause);
             co_await timer.async_wait(asio::use_awaitable);
         }
     }
 }
 
-asio::awaitable<bool> CatalogController::askOnce(SourceQuery query)
+asio::awaitable<bool> CatalogController::querySource(SourceQuery query)
 {
     const std::optional<Endpoint> before = plan_.following();
-    const TimePoint asked = currentTime();
+    const TimePoint askedAt = currentTime();
     const Result<Catalog> catalog =
-        co_await ask(query.node, request(query.wait, query.known), query.wait + times_.followMargin);
+        co_await ask(query.node, makeRequest(query.wait, query.known), query.wait + times_.followMargin);
     if (!catalog) {
         plan_.silent(query.node, currentTime());
-        logFollowing(before, catalog.error().detail);
+        logFollowingChange(before, catalog.error().detail);
         applyReading();
-        // Another source is asked at once.
-        co_return currentTime() - asked >= times_.followPause;
+        // The next source is asked without a pause, unless this one failed at once.
+        co_return currentTime() - askedAt >= times_.followPause;
     }
-    co_await checkOwnWay(catalog.value());
-    const CatalogVersions had = contents_.versions();
-    takeAnswer(query.node, catalog.value());
-    const bool brought = had.routes < contents_.versions().routes || had.list < contents_.versions().list;
-    const bool isNew = before != plan_.following();
-    // An answer that came at once and brought nothing, as when its routes can't be read here, would come again at once.
-    co_return brought || isNew || currentTime() - asked >= times_.followPause;
+    co_await checkOwnStoreAccess(catalog.value());
+    const CatalogVersions versionsBefore = contents_.versions();
+    handleAnswer(query.node, catalog.value());
+    const bool hasChanged =
+        versionsBefore.routes < contents_.versions().routes || versionsBefore.list < contents_.versions().list;
+    const bool isSourceNew = before != plan_.following();
+    // Guards against a busy loop: an answer that came at once and changed nothing, for example since its routes can't
+    // be parsed here, would come again at once.
+    co_return hasChanged || isSourceNew || currentTime() - askedAt >= times_.followPause;
 }
 
-void CatalogController::takeAnswer(const Endpoint &peer, const Catalog &catalog)
+void CatalogController::handleAnswer(const Endpoint &peer, const Catalog &catalog)
 {
     const TimePoint now = currentTime();
     const std::optional<Endpoint> before = plan_.following();
-    const StoreState known = storeState();
+    const StoreState stateBefore = storeState();
     const TimePoint lastStoreAvailable = plan_.lastStoreAvailable();
     plan_.answered(peer, reportOf(catalog), now);
-    logFollowing(before, "another node can read the platform");
-    const bool settles = catalog.store == StoreState::Recovering && plan_.following() == peer;
-    if (settles && !storeIsLost_ && !state_.directory.holdsRemovals(now)) {
-        // What lapsed while the store was away may be removed by what this answer brings.
+    logFollowingChange(before, "another node can read the platform");
+    const bool isSourceRecovering = catalog.store == StoreState::Recovering && plan_.following() == peer;
+    if (isSourceRecovering && !isStoreLost_ && !state_.directory.holdsRemovals(now)) {
+        // This answer may remove upstreams that are alive, whose leases expired while the store was unavailable.
         state_.directory.storeLost(lastStoreAvailable);
         state_.directory.storeBack(now);
     }
     if (catalog.store == StoreState::Available && plan_.following() == peer) {
-        noteStoreRead(catalog);
+        recordStoreAvailability(catalog);
     }
     applyReading();
-    (void)take(peer, catalog);
-    if (storeState() != known) {
-        log_.storeState(storeState());
-        wakeAskers();
+    (void)applyCatalog(peer, catalog);
+    if (storeState() != stateBefore) {
+        log_.logStoreState(storeState());
+        wakeWaitingRequests();
     }
 }
 
-void CatalogController::noteStoreRead(const Catalog &catalog)
+void CatalogController::recordStoreAvailability(const Catalog &catalog)
 {
     const TimePoint now = currentTime();
     state_.directory.storeAvailableThroughout(now - catalog.storeAvailableFor, now - catalog.storeAge);
 }
 
-void CatalogController::logFollowing(const std::optional<Endpoint> &before, std::string_view why)
+void CatalogController::logFollowingChange(const std::optional<Endpoint> &before, std::string_view reason)
 {
     if (before == plan_.following()) {
         return;
     }
     if (plan_.following()) {
-        log_.followBegun(*plan_.following(), plan_.hops());
+        log_.logFollowStarted(*plan_.following(), plan_.hops());
     } else {
-        log_.followEnded(*before, why, currentTime() - plan_.provenAt());
+        log_.logFollowEnded(*before, reason, currentTime() - plan_.provenAt());
     }
 }
 
-/// Guards against taking part in a mass lapse: VMs that are cut off from the store can't renew their entries and vanish
-/// from the list, though they live and reach each other. A node among them that reads the store itself knows that it is
-/// cut off and goes on using them; one that follows a node outside has to find out.
-asio::awaitable<void> CatalogController::checkOwnWay(const Catalog &catalog)
+/// Guards against mass expiry: VMs that are cut off from the store can't renew their entries and disappear from the
+/// list, though they are alive and reach each other. A node among them that reads the store itself knows that it is cut
+/// off and goes on using them. A node among them that follows a node which still reads the store has to check its own
+/// access.
+asio::awaitable<void> CatalogController::checkOwnStoreAccess(const Catalog &catalog)
 {
-    const bool othersRead = catalog.store != StoreState::Unavailable;
-    const bool removes = !catalog.changes.empty() && contents_.removesSilently(catalog);
-    if (!othersRead || storeIsLost_ != isCutOff_ || (!isCutOff_ && !removes)) {
+    const bool othersReadStore = catalog.store != StoreState::Unavailable;
+    const bool removesReady = !catalog.changes.empty() && contents_.removesReadyUpstreams(catalog);
+    if (!othersReadStore || isStoreLost_ != isCutOff_ || (!isCutOff_ && !removesReady)) {
         co_return;
     }
-    const bool reachable = co_await source_.isReachable();
-    if (reachable == !isCutOff_) {
+    const bool isReachable = co_await source_.isReachable();
+    if (isReachable == !isCutOff_) {
         co_return;
     }
-    isCutOff_ = !reachable;
-    if (reachable) {
-        // The node followed read the store all the while: what it removed is gone.
+    isCutOff_ = !isReachable;
+    if (isReachable) {
+        // The node that is followed could read the store all the time, so the upstreams that it removed are gone.
         state_.directory.storeSeenInOrder(true);
     }
-    log_.cutOff(isCutOff_);
+    log_.logCutOff(isCutOff_);
     applyStoreState();
 }
 
-asio::awaitable<void> CatalogController::look()
+asio::awaitable<void> CatalogController::probeStore()
 {
-    const bool reachable = co_await source_.isReachable();
-    if (reachable) {
+    const bool isReachable = co_await source_.isReachable();
+    if (isReachable) {
         plan_.storeProbeSucceeded(currentTime());
         applyReading();
     }
 }
 
-CatalogRequest CatalogController::request(Milliseconds wait, StoreState known) const
+CatalogRequest CatalogController::makeRequest(Milliseconds wait, StoreState known) const
 {
     return {contents_.versions(), wait, known};
 }
 
-asio::awaitable<Result<Catalog>> CatalogController::ask(Endpoint peer, CatalogRequest request, Milliseconds limit)
+asio::awaitable<Result<Catalog>> CatalogController::ask(Endpoint peer, CatalogRequest request, Milliseconds timeout)
 {
-    const TimePoint asked = currentTime();
-    Result<Catalog> answer = co_await peers_.catalog(peer, request, asked + limit);
+    const TimePoint askedAt = currentTime();
+    Result<Catalog> answer = co_await peerClient_.catalog(peer, request, askedAt + timeout);
     if (answer) {
         if (quarantineListener_) {
             quarantineListener_(peer, answer.value().quarantine);
         }
         Catalog &catalog = answer.value();
-        // Clocks stand still in a suspended VM, each its own.
-        const Milliseconds onTheWay = std::max(timeSince(asked) - catalog.held, Milliseconds{0});
-        catalog.routesAge += onTheWay;
-        catalog.listAge += onTheWay;
-        catalog.storeAge += onTheWay;
+        // A VM's clock stops while the VM is suspended, so the peer's hold time may exceed the time measured here.
+        const Milliseconds travelTime = std::max(timeSince(askedAt) - catalog.held, Milliseconds{0});
+        catalog.routesAge += travelTime;
+        catalog.listAge += travelTime;
+        catalog.storeAge += travelTime;
     }
     co_return answer;
 }
@@ -415,7 +422,7 @@
 {
     for (const Endpoint &peer : peersToAsk()) {
         const Result<Catalog> catalog =
-            co_await ask(peer, request(Milliseconds{0}, StoreState::Available), times_.peerLimit);
+            co_await ask(peer, makeRequest(Milliseconds{0}, StoreState::Available), times_.peerLimit);
         if (!catalog) {
             continue;
         }
@@ -424,33 +431,34 @@
             state_.directory.storeSeenInOrder(storeAvailable);
         }
         if (storeAvailable) {
-            noteStoreRead(catalog.value());
+            recordStoreAvailability(catalog.value());
         }
-        if (begun_) {
-            (void)take(peer, catalog.value());
+        if (hasBootstrapped_) {
+            (void)applyCatalog(peer, catalog.value());
         } else {
             followIfComplete(peer, catalog.value());
         }
     }
 }
 
-/// A peer has had more than this node for a while, so that the source of this one has fallen silent.
+/// Called when a peer has had newer versions than this node for a while, so that this node's own source has
+/// stopped sending updates.
 asio::awaitable<void> CatalogController::catchUp()
 {
-    const Endpoint peer = std::exchange(ahead_, std::nullopt)->peer;
+    const Endpoint peer = std::exchange(newerPeer_, std::nullopt)->peer;
     const Result<Catalog> catalog =
-        co_await ask(peer, request(Milliseconds{0}, StoreState::Available), times_.peerLimit);
-    if (!catalog || !take(peer, catalog.value())) {
+        co_await ask(peer, makeRequest(Milliseconds{0}, StoreState::Available), times_.peerLimit);
+    if (!catalog || !applyCatalog(peer, catalog.value())) {
         co_return;
     }
-    log_.caughtUp(peer);
-    // A follower goes on: its reader learns of the change in the same way.
+    log_.logCatchUp(peer);
+    // A follower needs nothing more: its source learns of the change in the same way.
     if (!plan_.following() && !plan_.ownLostSince()) {
         source_.resume(state_.directory.revision(), false, times_.readerPause);
     }
 }
 
-/// Peers from the list; before there is one, those that the settings name.
+/// Peers from the instance list, or seeds from the settings while there is no list.
 std::vector<Endpoint> CatalogController::peersToAsk()
 {
     if (state_.directory.holdsRecords(currentTime())) {
@@ -460,18 +468,18 @@
             return others;
         }
     }
-    std::vector<Endpoint> peers = anyPeers(state_.directory, state_.ownNode(), PeersInRound, state_.random);
-    return peers.empty() ? drawSome(state_.settings.seeds, PeersInRound, state_.random) : peers;
+    std::vector<Endpoint> peers = anyPeers(state_.directory, state_.ownAddress(), PeersPerRound, state_.random);
+    return peers.empty() ? drawSome(state_.settings.seeds, PeersPerRound, state_.random) : peers;
 }
 
-bool CatalogController::take(const Endpoint &peer, const Catalog &catalog)
+bool CatalogController::applyCatalog(const Endpoint &peer, const Catalog &catalog)
 {
-    const bool brought = contents_.take(peer, catalog);
-    if (ahead_ && ahead_->peer == peer) {
-        ahead_.reset();
+    const bool hasChanged = contents_.applyFromPeer(peer, catalog);
+    if (newerPeer_ && newerPeer_->peer == peer) {
+        newerPeer_.reset();
     }
-    wakeAskers();
-    return brought;
+    wakeWaitingRequests();
+    return hasChanged;
 }
 
 }
--- a/src/sidecar/catalogcontroller.h
+++ b/src/sidecar/catalogcontroller.h
@@ -11,119 +11,123 @@
 
 #include "instances/catalogplan.h"
 #include "rpc/peerclient.h"
+#include "sidecar/catalogbootstrap.h"
 #include "sidecar/catalogcontents.h"
 #include "sidecar/cataloglog.h"
 #include "sidecar/catalogsource.h"
 #include "sidecar/decisionsettings.h"
-#include "sidecar/seedinquiry.h"
 #include "sidecar/sidecarstate.h"
 
 namespace Egretpath
 {
 
-/// Does what CatalogPlan decides: asks other nodes and the platform for routes and upstreams, and answers others.
+/// Carries out what CatalogPlan decides: gets routes and the instance list from other nodes or from the store, and
+/// answers other nodes' requests for them.
 ///
-/// Guards against a source that has fallen silent without an error, so that its node would stay on old routes for as
-/// long as the connection stands: each answer of another node tells what that node has, and one that has more is asked.
-/// Thread safety: none. Precondition: references outlive the controller.
+/// Guards against a source that stops sending updates without an error: its node would keep old routes for as long as
+/// the connection stands. Each answer of another node says which versions that node has, and a node that has newer
+/// versions is asked for them. Thread safety: none. Precondition: references outlive the controller.
 class CatalogController final : public CatalogSink
 {
 public:
-    /// @p changed is called after each change of routes or list.
+    /// @p onChanged is called after each change of the routes or the list.
     CatalogController(boost::asio::any_io_executor executor, SidecarState &state, CatalogSource &source,
-                      PeerClient &peers, const DecisionSettings &decisions, std::function<void()> changed);
+                      PeerClient &peerClient, const DecisionSettings &decisions, std::function<void()> onChanged);
 
     void start();
-    /// What this node has and the asker lacks; see PeerService::catalog().
+    /// What this node has and the requesting node lacks; see PeerService::catalog().
     [[nodiscard]] boost::asio::awaitable<Catalog> answer(CatalogRequest request);
-    /// What this node has.
+    /// The versions of the routes and the list that this node has.
     [[nodiscard]] CatalogVersions versions() const { return contents_.versions(); }
-    /// For operators: the node that is followed, "platform", or "lost".
+    /// The source of routes and list, for operators: the address of the node that is followed, "platform" or "lost".
     [[nodiscard]] std::string sourceName() const;
     [[nodiscard]] bool readsStore() const { return reading_ != StoreReading::None; }
     [[nodiscard]] StoreState storeState() const;
-    /// @p peer has said in an answer what it has.
+    /// Records the versions that @p peer reported in an answer.
     void recordVersions(const Endpoint &peer, const CatalogVersions &versions);
-    /// Calls @p listener with what each answer of another node says that it refuses.
+    /// Calls @p listener with the digest of refused requests in each answer of another node.
     void onQuarantineDigest(std::function<void(const Endpoint &, QuarantineDigest)> listener)
     {
         quarantineListener_ = std::move(listener);
     }
-    /// A caller was turned away since no routes are in force.
-    void noteCallerWaits() { seeds_.noteCallerWaits(); }
+    /// Records that a caller was refused because this node has no routes yet.
+    void recordWaitingCaller() { bootstrap_.recordWaitingCaller(); }
 
     void routesRead(PublishedRoutes routes) override;
     void listRead(const InstanceSnapshot &snapshot) override;
     void changesRead(const std::vector<InstanceChange> &changes, StoreRevision reached) override;
-    void sourceLost(std::string_view why) override;
+    void sourceLost(std::string_view reason) override;
     void sourceBack() override;
-    void entryRefused(std::string_view key, std::string_view why) override { log_.entryRefused(key, why); }
-    void storeCalled(std::string_view call, std::string_view outcome) override { log_.storeCalled(call, outcome); }
+    void entryRefused(std::string_view key, std::string_view reason) override { log_.logRefusedEntry(key, reason); }
+    void storeCalled(std::string_view call, std::string_view outcome) override { log_.countStoreCall(call, outcome); }
 
 private:
-    /// Another node that has more than this one, and since when it is known to.
-    struct Ahead
+    /// A node that has newer versions than this one. @p since is when this node first learned that any node has.
+    struct NewerPeer
     {
         Endpoint peer;
         CatalogVersions versions;
         TimePoint since;
     };
 
-    boost::asio::awaitable<void> watchOver();
-    /// Takes routes and list from a node that has them; reads the platform when there is none.
-    boost::asio::awaitable<void> begin();
-    [[nodiscard]] SeedInquirer seedInquirer();
+    boost::asio::awaitable<void> runPeriodicChecks();
+    /// Gets routes and list from a seed, or from the store if no seed has them; then follows other nodes.
+    boost::asio::awaitable<void> bootstrapAndFollow();
+    [[nodiscard]] CatalogBootstrapCallbacks bootstrapCallbacks();
     void followIfComplete(const Endpoint &peer, const Catalog &catalog);
     boost::asio::awaitable<void> followOthers();
-    /// Returns whether to go on at once.
-    boost::asio::awaitable<bool> askOnce(SourceQuery query);
-    /// Before changes are taken that remove upstreams which did not say that they leave.
-    boost::asio::awaitable<void> checkOwnWay(const Catalog &catalog);
-    /// Now and then, while others say that the store is away.
-    boost::asio::awaitable<void> look();
+    /// Returns whether to send the next query without a pause.
+    boost::asio::awaitable<bool> querySource(SourceQuery query);
+    /// Called before @p catalog is applied. Checks whether this node can reach the store if upstreams would be removed
+    /// that did not announce that they drain, or if this node counts as cut off.
+    boost::asio::awaitable<void> checkOwnStoreAccess(const Catalog &catalog);
+    /// Sends a single cheap call to the store, from time to time, while other nodes report it unavailable.
+    boost::asio::awaitable<void> probeStore();
     boost::asio::awaitable<void> askPeers();
     boost::asio::awaitable<void> catchUp();
-    /// The ages in the answer are those of its arrival.
+    /// Returns the answer with its ages counted up to its arrival.
     [[nodiscard]] boost::asio::awaitable<Result<Catalog>> ask(Endpoint peer, CatalogRequest request,
-                                                              Milliseconds limit);
+                                                              Milliseconds timeout);
     [[nodiscard]] std::vector<Endpoint> peersToAsk();
-    [[nodiscard]] CatalogRequest request(Milliseconds wait, StoreState known) const;
-    void takeAnswer(const Endpoint &peer, const Catalog &catalog);
-    [[nodiscard]] bool take(const Endpoint &peer, const Catalog &catalog);
-    /// Begins or ends to read the platform as the plan says.
+    [[nodiscard]] CatalogRequest makeRequest(Milliseconds wait, StoreState known) const;
+    void handleAnswer(const Endpoint &peer, const Catalog &catalog);
+    [[nodiscard]] bool applyCatalog(const Endpoint &peer, const Catalog &catalog);
+    /// Starts or stops reading the store, as the plan says.
     void applyReading();
-    /// Tells the directory whether removals that are told now may be lapses.
+    /// Tells the directory whether removals from now on may be expired leases of upstreams that are alive.
     void applyStoreState();
-    /// @p catalog comes from a node that has read the store in order, or follows one.
-    void noteStoreRead(const Catalog &catalog);
-    void logFollowing(const std::optional<Endpoint> &before, std::string_view why);
+    /// Tells the directory for how long the store was available to the node that @p catalog originates from.
+    /// Precondition: the sender reports the store available.
+    void recordStoreAvailability(const Catalog &catalog);
+    void logFollowingChange(const std::optional<Endpoint> &before, std::string_view reason);
     [[nodiscard]] bool needsPeers() const;
     void listChanged();
     void contentsChanged();
-    void wakeAskers() { news_.cancel(); }
+    void wakeWaitingRequests() { changeSignal_.cancel(); }
 
     boost::asio::any_io_executor executor_;
     SidecarState &state_;
     CatalogSource &source_;
-    PeerClient &peers_;
+    PeerClient &peerClient_;
     CatalogTimes times_;
     CatalogLog log_;
-    std::function<void()> changed_;
+    std::function<void()> onChanged_;
     std::function<void(const Endpoint &, QuarantineDigest)> quarantineListener_;
     CatalogContents contents_;
     CatalogPlan plan_;
-    SeedInquiry seeds_;
-    TimePoint started_;
+    CatalogBootstrap bootstrap_;
+    TimePoint startedAt_;
     StoreReading reading_ = StoreReading::None;
-    /// Seeds were asked; from now on the plan says what is read.
-    bool begun_ = false;
-    /// Only this node's way to the platform is cut: what lapses is likely to be cut off as well.
+    /// The seeds were asked. From now on the plan decides whether this node reads the store.
+    bool hasBootstrapped_ = false;
+    /// Only this node's connection to the store is lost. Upstreams whose leases expire are likely to be cut off too.
     bool isCutOff_ = false;
-    /// As the directory was told.
-    bool storeIsLost_ = false;
-    std::optional<Ahead> ahead_;
-    /// Never expires; cancelled when routes, list or the store's state change.
-    boost::asio::steady_timer news_;
+    /// What the directory was last told.
+    bool isStoreLost_ = false;
+    std::optional<NewerPeer> newerPeer_;
+    /// Wakes the requests that wait for an update. Never expires; cancelled when the routes, the list or the store's
+    /// state change.
+    boost::asio::steady_timer changeSignal_;
 };
 
 }
--- a/src/sidecar/cataloglog.cpp
+++ b/src/sidecar/cataloglog.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr const char *NewsAge = "egretpath_news_age_seconds";
+constexpr const char *UpdateAgeMetric = "egretpath_news_age_seconds";
 
 Milliseconds::rep millisecondsOf(Duration duration)
 {
@@ -25,20 +25,20 @@
 
 }
 
-void CatalogLog::routesInForce(const RouteTable &table, RouteVersion before, const NewsOrigin &origin)
+void CatalogLog::logRoutes(const RouteTable &table, RouteVersion versionBefore, const UpdateOrigin &origin)
 {
     StructuredLine line("routes");
-    line.add("version", table.version().value()).add("before", before.value());
+    line.add("version", table.version().value()).add("before", versionBefore.value());
     line.add("count", std::uint64_t{table.routeCount()});
     line.add("from", origin.from).add("bytes", std::uint64_t{origin.bytes}).add("age_ms", millisecondsOf(origin.age));
     log_.info(line);
     metrics_.set("egretpath_routes_version", {}, static_cast<double>(table.version().value()));
-    if (before.value() > 0) {
-        metrics_.record(NewsAge, R"(what="routes")", origin.age);
+    if (versionBefore.value() > 0) {
+        metrics_.record(UpdateAgeMetric, R"(what="routes")", origin.age);
     }
 }
 
-void CatalogLog::upstreamChanged(const InstanceChange &change, const NewsOrigin &origin)
+void CatalogLog::logUpstreamChange(const InstanceChange &change, const UpdateOrigin &origin)
 {
     StructuredLine line("upstream");
     line.add("id", change.id.value()).add("revision", change.revision.value()).add("state", stateOf(change));
@@ -46,74 +46,77 @@
     log_.info(line);
 }
 
-void CatalogLog::listRead(const NewsOrigin &origin)
+void CatalogLog::recordListAge(const UpdateOrigin &origin)
 {
-    metrics_.record(NewsAge, R"(what="list")", origin.age);
+    metrics_.record(UpdateAgeMetric, R"(what="list")", origin.age);
 }
 
-void CatalogLog::wholeList(const InstanceDirectory &directory, std::string_view from, std::string_view what)
+void CatalogLog::logList(const InstanceDirectory &directory, std::string_view from, std::string_view change)
 {
     StructuredLine line("upstreams");
-    line.add("from", from).add("what", what).add("revision", directory.revision().value());
+    line.add("from", from).add("what", change).add("revision", directory.revision().value());
     line.add("count", std::uint64_t{directory.size()});
     log_.info(line);
 }
 
-void CatalogLog::followBegun(const Endpoint &reader, unsigned hops)
+void CatalogLog::logFollowStarted(const Endpoint &reader, unsigned hops)
 {
     log_.info(StructuredLine("follow").add("reader", reader.value()).add("hops", std::uint64_t{hops}));
 }
 
-void CatalogLog::followEnded(const Endpoint &reader, std::string_view why, Duration unheard)
+void CatalogLog::logFollowEnded(const Endpoint &reader, std::string_view reason, Duration silentFor)
 {
     StructuredLine line("follow");
-    line.add("reader", "none").add("was", reader.value()).add("why", why).add("unheard_ms", millisecondsOf(unheard));
+    line.add("reader", "none")
+        .add("was", reader.value())
+        .add("why", reason)
+        .add("unheard_ms", millisecondsOf(silentFor));
     log_.info(line);
 }
 
-void CatalogLog::storeState(StoreState state)
+void CatalogLog::logStoreState(StoreState state)
 {
     log_.info(StructuredLine("store").add("state", toString(state)));
     metrics_.set("egretpath_store_state", {}, static_cast<double>(state));
 }
 
-void CatalogLog::cutOff(bool cut)
+void CatalogLog::logCutOff(bool isCutOff)
 {
-    log_.warning(StructuredLine("cut-off").add("state", cut ? "cut" : "back"));
+    log_.warning(StructuredLine("cut-off").add("state", isCutOff ? "cut" : "back"));
 }
 
-void CatalogLog::reads(bool reads)
+void CatalogLog::setReadsStore(bool readsStore)
 {
-    metrics_.set("egretpath_reads_store", {}, reads ? 1.0 : 0.0);
+    metrics_.set("egretpath_reads_store", {}, readsStore ? 1.0 : 0.0);
 }
 
-void CatalogLog::storeCalled(std::string_view call, std::string_view outcome)
+void CatalogLog::countStoreCall(std::string_view call, std::string_view outcome)
 {
     std::string labels = "call=\"";
     labels.append(call).append("\",outcome=\"").append(outcome).append("\"");
     metrics_.count("egretpath_store_calls_total", labels);
 }
 
-void CatalogLog::sourceLost(std::string_view why)
+void CatalogLog::logSourceLost(std::string_view reason)
 {
-    log_.warning(StructuredLine("platform").add("state", "lost").add("why", why));
+    log_.warning(StructuredLine("platform").add("state", "lost").add("why", reason));
 }
 
-void CatalogLog::sourceBack(Duration away)
+void CatalogLog::logSourceRestored(Duration lostFor)
 {
-    log_.info(StructuredLine("platform").add("state", "back").add("away_ms", millisecondsOf(away)));
+    log_.info(StructuredLine("platform").add("state", "back").add("away_ms", millisecondsOf(lostFor)));
 }
 
-void CatalogLog::caughtUp(const Endpoint &peer)
+void CatalogLog::logCatchUp(const Endpoint &peer)
 {
     metrics_.count("egretpath_catalog_catch_ups_total");
     log_.warning(StructuredLine("catch-up").add("peer", peer.value()));
 }
 
-void CatalogLog::entryRefused(std::string_view key, std::string_view why)
+void CatalogLog::logRefusedEntry(std::string_view key, std::string_view reason)
 {
     metrics_.count("egretpath_entries_refused_total");
-    log_.warning(StructuredLine("entry-refused").add("key", key).add("why", why));
+    log_.warning(StructuredLine("entry-refused").add("key", key).add("why", reason));
 }
 
 }
--- a/src/sidecar/cataloglog.h
+++ b/src/sidecar/cataloglog.h
@@ -13,23 +13,23 @@
 namespace Egretpath
 {
 
-/// Where routes or a change of the list came from, and how old they were by then.
-struct NewsOrigin
+/// Where an update of the routes or of the list came from, and how old it was on arrival.
+struct UpdateOrigin
 {
-    /// For news that this node read from the store itself.
+    /// Stands for updates that this node read from the store itself.
     static constexpr std::string_view Platform = "platform";
 
     /// A node's address, or Platform.
     std::string from{Platform};
-    /// Since a node read the news from the store, the ways and the waits of all steps included. The ways of the
-    /// questions count as well, so that it is never less than the truth.
+    /// Time since a node read the update from the store, including the travel and wait times of all hops. The travel
+    /// times of the requests are counted as well, so that the age is never too low.
     Duration age{0};
-    /// Of the routes, as they travelled.
+    /// Size of the routes as they were transferred.
     std::size_t bytes = 0;
 };
 
-/// The log lines and metrics of CatalogController; docs/OPERATIONS.md tells what each line says.
-/// Thread safety: none. Precondition: references outlive it. Errors: none.
+/// The log lines and metrics of CatalogController; docs/OPERATIONS.md describes each line.
+/// Thread safety: none. Precondition: references outlive the object. Errors: none.
 class CatalogLog
 {
 public:
@@ -39,24 +39,24 @@
     {
     }
 
-    /// @p before is zero for the first routes of this process, which count for no metric of lateness.
-    void routesInForce(const RouteTable &table, RouteVersion before, const NewsOrigin &origin);
-    void upstreamChanged(const InstanceChange &change, const NewsOrigin &origin);
-    void listRead(const NewsOrigin &origin);
-    /// @p what became of the list as a whole.
-    void wholeList(const InstanceDirectory &directory, std::string_view from, std::string_view what);
-    void followBegun(const Endpoint &reader, unsigned hops);
-    void followEnded(const Endpoint &reader, std::string_view why, Duration unheard);
-    /// What this node tells others of the store.
-    void storeState(StoreState state);
-    /// Whether only this node's own way to the platform is cut.
-    void cutOff(bool cut);
-    void reads(bool reads);
-    void storeCalled(std::string_view call, std::string_view outcome);
-    void sourceLost(std::string_view why);
-    void sourceBack(Duration away);
-    void caughtUp(const Endpoint &peer);
-    void entryRefused(std::string_view key, std::string_view why);
+    /// @p versionBefore is zero for the first routes of this process, which are left out of the update age metric.
+    void logRoutes(const RouteTable &table, RouteVersion versionBefore, const UpdateOrigin &origin);
+    void logUpstreamChange(const InstanceChange &change, const UpdateOrigin &origin);
+    void recordListAge(const UpdateOrigin &origin);
+    /// Logs that the list as a whole changed; @p change is the kind of change.
+    void logList(const InstanceDirectory &directory, std::string_view from, std::string_view change);
+    void logFollowStarted(const Endpoint &reader, unsigned hops);
+    void logFollowEnded(const Endpoint &reader, std::string_view reason, Duration silentFor);
+    /// The state of the store that this node reports to others.
+    void logStoreState(StoreState state);
+    /// Whether only this node's own connection to the store is lost.
+    void logCutOff(bool isCutOff);
+    void setReadsStore(bool readsStore);
+    void countStoreCall(std::string_view call, std::string_view outcome);
+    void logSourceLost(std::string_view reason);
+    void logSourceRestored(Duration lostFor);
+    void logCatchUp(const Endpoint &peer);
+    void logRefusedEntry(std::string_view key, std::string_view reason);
 
 private:
     EventLog &log_;
--- a/src/sidecar/catalogsource.h
+++ b/src/sidecar/catalogsource.h
@@ -14,15 +14,15 @@
 namespace Egretpath
 {
 
-/// Routes as the platform published them, with what they say.
+/// Routes as the platform published them, parsed and as text.
 struct PublishedRoutes
 {
     RouteTablePointer table;
-    /// What other nodes get, and read themselves.
+    /// The text is sent to other nodes, which parse it themselves.
     std::string text;
 };
 
-/// Takes what a CatalogSource reads. Thread safety: none.
+/// Receives what a CatalogSource reads. Thread safety: none.
 class CatalogSink
 {
 public:
@@ -30,36 +30,38 @@
 
     virtual void routesRead(PublishedRoutes routes) = 0;
     virtual void listRead(const InstanceSnapshot &snapshot) = 0;
-    /// @p reached: all changes up to this revision are in @p changes or were told before.
+    /// @p reached: all changes up to this revision are in @p changes or were reported before.
     virtual void changesRead(const std::vector<InstanceChange> &changes, StoreRevision reached) = 0;
-    /// The platform can't be read. Called once for each loss.
-    virtual void sourceLost(std::string_view why) = 0;
-    /// It answers again.
+    /// The platform's store can't be read. Called once for each loss.
+    virtual void sourceLost(std::string_view reason) = 0;
+    /// The store answers again.
     virtual void sourceBack() = 0;
-    /// Something that was read can't be used; what was in force stays.
-    virtual void entryRefused(std::string_view key, std::string_view why) = 0;
-    /// A call to the platform ended: what it was for, and how; both for metrics.
+    /// The entry at @p key was read but can't be used. The active routes and list stay.
+    virtual void entryRefused(std::string_view key, std::string_view reason) = 0;
+    /// A call to the store ended. @p call names its purpose and @p outcome its result; both are for metrics.
     virtual void storeCalled(std::string_view call, std::string_view outcome) = 0;
 };
 
-/// Reads routes and the list of upstreams from a platform. One implementation for each platform.
+/// Reads routes and the instance list from a platform's store. One implementation for each platform.
 /// Thread safety: none.
 class CatalogSource
 {
 public:
     virtual ~CatalogSource() = default;
 
-    /// Tells @p sink what is read from now on; it outlives the source. Nothing is read before resume().
+    /// Reports to @p sink what is read from now on. Nothing is read before resume(). Precondition: the sink outlives
+    /// the source.
     virtual void attach(CatalogSink &sink) = 0;
-    /// Begins to read, behind @p listReached or everything if that is zero, and tells the sink when that works again if
-    /// the source counts as @p lost. Reading that is on already begins anew: its calls may hang on connections that
-    /// have fallen silent. While the platform is away, calls are at most @p longestPause apart.
-    virtual void resume(StoreRevision listReached, bool lost, Milliseconds longestPause) = 0;
-    /// Reads no more: a node that follows another one needs no calls of its own.
+    /// Starts reading: the changes after @p listReached, or everything if it is zero. If @p wasLost, the source counts
+    /// as lost, and the sink is told when the store answers. A source that already reads starts again, since its calls
+    /// may hang on connections that have failed silently. While the store is unavailable, calls are at most
+    /// @p maxInterval apart.
+    virtual void resume(StoreRevision listReached, bool wasLost, Milliseconds maxInterval) = 0;
+    /// Stops reading: a node that follows another node needs no calls of its own.
     virtual void suspend() = 0;
-    /// Whether this node could read now, by the cheapest call there is.
+    /// Whether this node could read the store now, found out by the cheapest call that it offers.
     [[nodiscard]] virtual boost::asio::awaitable<bool> isReachable() = 0;
-    /// Routes that another node read from the platform. Errors: why they can't be used.
+    /// Parses routes that another node read from the store. Errors: the reason that they can't be used.
     [[nodiscard]] virtual Result<PublishedRoutes> readRoutes(std::string text) const = 0;
 };
 
--- a/src/sidecar/decisionsettings.h
+++ b/src/sidecar/decisionsettings.h
@@ -8,7 +8,7 @@
 namespace Egretpath
 {
 
-/// All constants of a node's decisions, for experiments that change one of them. The product uses them as they stand.
+/// All constants of a node's decisions, for experiments that change one of them. The product uses the defaults.
 struct DecisionSettings
 {
     IngressDecisions ingress;
@@ -17,7 +17,7 @@
     CatalogTimes catalog;
     /// See EgressSettings::keepsAccount.
     bool keepsUpstreamAccount = true;
-    /// What crosses links that are paid for by volume is compressed.
+    /// Whether traffic over links that are paid for by volume is compressed.
     bool compressesPaidLinks = true;
 };
 
--- a/src/sidecar/quarantinecontroller.cpp
+++ b/src/sidecar/quarantinecontroller.cpp
@@ -18,29 +18,30 @@
 namespace
 {
 
-constexpr Milliseconds AnswerLimit{500};
-/// Before a node that did not answer is told again; twice as long each time.
-constexpr Milliseconds RetryPause{100};
-constexpr int TellTries = 5;
-/// Between exchanges with nodes that refuse other requests; twice as long after each that settled nothing.
-constexpr Milliseconds LeastExchangePause{20};
-constexpr Milliseconds LongestExchangePause{5000};
+constexpr Milliseconds AnswerTimeout{500};
+/// Delay before the update is sent again to a node that did not answer. Twice as long after each attempt.
+constexpr Milliseconds InitialRetryDelay{100};
+constexpr int MaxSendAttempts = 5;
+/// Interval between exchanges with nodes that refuse other requests. Twice as long after each exchange that left a
+/// difference.
+constexpr Milliseconds MinExchangeInterval{20};
+constexpr Milliseconds MaxExchangeInterval{5000};
 constexpr Milliseconds ExpiryInterval{1000};
 
 }
 
-QuarantineController::QuarantineController(asio::any_io_executor executor, SidecarState &state, PeerClient &peers,
-                                           std::function<void()> changed)
+QuarantineController::QuarantineController(asio::any_io_executor executor, SidecarState &state, PeerClient &peerClient,
+                                           std::function<void()> onChanged)
     : executor_(std::move(executor))
     , state_(state)
-    , peers_(peers)
-    , changed_(std::move(changed))
+    , peerClient_(peerClient)
+    , onChanged_(std::move(onChanged))
     , spread_(Random(state.random()))
-    , exchangePause_(LeastExchangePause)
+    , exchangeInterval_(MinExchangeInterval)
 {
 }
 
-void QuarantineController::settingsChanged()
+void QuarantineController::applySettings()
 {
     std::vector<RequestFingerprint> allowed;
     for (const Digest &digest : state_.settings.allowedRequests) {
@@ -51,8 +52,8 @@
 
 void QuarantineController::start()
 {
-    settingsChanged();
-    asio::co_spawn(executor_, expireOldOnes(), asio::detached);
+    applySettings();
+    asio::co_spawn(executor_, expirePeriodically(), asio::detached);
 }
 
 void QuarantineController::upstreamExited(UpstreamCrashId crash, const std::vector<HeldRequest> &held)
@@ -67,48 +68,48 @@
         return;
     }
     const TimePoint now = currentTime();
-    const UpstreamCrash seen{crash, exits_.flaps(crash, state_.quarantine, now)};
+    const UpstreamCrash upstreamCrash{crash, exits_.flaps(crash, state_.quarantine, now)};
     exits_.record(crash, requests, now);
-    const CrashResult result = state_.quarantine.crashed(seen, requests, now);
-    tellKeepers(result.known);
-    noteRefused(result.refused, "own upstream");
+    const CrashResult result = state_.quarantine.crashed(upstreamCrash, requests, now);
+    reportCrashes(result.known);
+    recordRefused(result.refused, "own upstream");
 }
 
-void QuarantineController::tellKeepers(const std::vector<SuspectedRequest> &known)
+void QuarantineController::reportCrashes(const std::vector<SuspectedRequest> &known)
 {
-    const Endpoint own = state_.ownNode();
-    for (const Endpoint &keeper : spread_.keepers(state_.directory, state_.settings.service)) {
-        if (keeper != own) {
-            asio::co_spawn(executor_, tell(keeper, known), asio::detached);
+    const Endpoint own = state_.ownAddress();
+    for (const Endpoint &node : spread_.keepers(state_.directory, state_.settings.service)) {
+        if (node != own) {
+            asio::co_spawn(executor_, sendUpdate(node, known), asio::detached);
         }
     }
 }
 
-asio::awaitable<void> QuarantineController::tell(Endpoint node, std::vector<SuspectedRequest> requests)
+asio::awaitable<void> QuarantineController::sendUpdate(Endpoint node, std::vector<SuspectedRequest> requests)
 {
     asio::steady_timer timer(executor_);
-    Duration pause = RetryPause;
-    for (int attempt = 0; attempt < TellTries; ++attempt) {
-        QuarantineUpdate update = updateOf(requests);
+    Duration retryDelay = InitialRetryDelay;
+    for (int attempt = 0; attempt < MaxSendAttempts; ++attempt) {
+        QuarantineUpdate update = makeUpdate(requests);
         const Result<QuarantineUpdate> answer =
-            co_await peers_.quarantine(node, std::move(update), currentTime() + AnswerLimit);
+            co_await peerClient_.quarantine(node, std::move(update), currentTime() + AnswerTimeout);
         if (answer) {
-            take(answer.value().requests, node.value());
+            apply(answer.value().requests, node.value());
             co_return;
         }
-        timer.expires_after(pause);
+        timer.expires_after(retryDelay);
         co_await timer.async_wait(asio::use_awaitable);
-        pause *= 2;
+        retryDelay *= 2;
     }
     state_.metrics.count("egretpath_quarantine_untold_total");
 }
 
-void QuarantineController::take(const std::vector<SuspectedRequest> &told, const std::string &from)
+void QuarantineController::apply(const std::vector<SuspectedRequest> &received, const std::string &from)
 {
-    noteRefused(state_.quarantine.take(told, currentTime()), from);
+    recordRefused(state_.quarantine.take(received, currentTime()), from);
 }
 
-void QuarantineController::noteRefused(const std::vector<SuspectedRequest> &refused, const std::string &from)
+void QuarantineController::recordRefused(const std::vector<SuspectedRequest> &refused, const std::string &from)
 {
     if (refused.empty()) {
         return;
@@ -120,64 +121,64 @@
         state_.log.info(line);
         state_.metrics.count("egretpath_quarantined_total");
     }
-    passOn(refused);
-    changed_();
+    forward(refused);
+    onChanged_();
 }
 
-void QuarantineController::passOn(const std::vector<SuspectedRequest> &refused)
+void QuarantineController::forward(const std::vector<SuspectedRequest> &refused)
 {
     if (const auto due = spread_.gather(refused, currentTime())) {
-        asio::co_spawn(executor_, passOnAt(*due), asio::detached);
+        asio::co_spawn(executor_, forwardAt(*due), asio::detached);
     }
 }
 
-asio::awaitable<void> QuarantineController::passOnAt(TimePoint due)
+asio::awaitable<void> QuarantineController::forwardAt(TimePoint due)
 {
     asio::steady_timer timer(executor_, due);
     co_await timer.async_wait(asio::use_awaitable);
     const std::vector<SuspectedRequest> gathered = spread_.takeGathered(currentTime());
-    for (const Endpoint &node : spread_.listeners(state_.directory, state_.ownNode())) {
-        asio::co_spawn(executor_, tell(node, gathered), asio::detached);
+    for (const Endpoint &node : spread_.listeners(state_.directory, state_.ownAddress())) {
+        asio::co_spawn(executor_, sendUpdate(node, gathered), asio::detached);
     }
 }
 
 QuarantineUpdate QuarantineController::answer(const QuarantineUpdate &update)
 {
     const TimePoint now = currentTime();
-    take(update.requests, "another node");
+    apply(update.requests, "another node");
     std::vector<SuspectedRequest> more = state_.quarantine.moreThan(update.requests, now);
     if (update.digest != state_.quarantine.digest()) {
         const std::vector<SuspectedRequest> refused = state_.quarantine.refused(now);
         more.insert(more.end(), refused.begin(), refused.end());
     }
-    return updateOf(std::move(more));
+    return makeUpdate(std::move(more));
 }
 
 void QuarantineController::recordDigest(const Endpoint &peer, QuarantineDigest digest)
 {
-    const bool isSettled = digest == state_.quarantine.digest();
-    if (isSettled || exchanging_ || currentTime() < nextExchange_) {
+    const bool isInSync = digest == state_.quarantine.digest();
+    if (isInSync || isExchanging_ || currentTime() < nextExchangeAt_) {
         return;
     }
-    exchanging_ = true;
+    isExchanging_ = true;
     asio::co_spawn(executor_, exchange(peer), asio::detached);
 }
 
 asio::awaitable<void> QuarantineController::exchange(Endpoint peer)
 {
-    QuarantineUpdate update = updateOf(state_.quarantine.refused(currentTime()));
+    QuarantineUpdate update = makeUpdate(state_.quarantine.refused(currentTime()));
     const Result<QuarantineUpdate> answer =
-        co_await peers_.quarantine(peer, std::move(update), currentTime() + AnswerLimit);
+        co_await peerClient_.quarantine(peer, std::move(update), currentTime() + AnswerTimeout);
     if (answer) {
-        take(answer.value().requests, peer.value());
+        apply(answer.value().requests, peer.value());
     }
-    const bool isSettled = answer && answer.value().digest == state_.quarantine.digest();
-    exchangePause_ = isSettled ? LeastExchangePause : std::min<Duration>(exchangePause_ * 2, LongestExchangePause);
-    nextExchange_ = currentTime() + exchangePause_;
-    exchanging_ = false;
+    const bool isInSync = answer && answer.value().digest == state_.quarantine.digest();
+    exchangeInterval_ = isInSync ? MinExchangeInterval : std::min<Duration>(exchangeInterval_ * 2, MaxExchangeInterval);
+    nextExchangeAt_ = currentTime() + exchangeInterval_;
+    isExchanging_ = false;
 }
 
-asio::awaitable<void> QuarantineController::expireOldOnes()
+asio::awaitable<void> QuarantineController::expirePeriodically()
 {
     asio::steady_timer timer(executor_);
     while (true) {
@@ -187,12 +188,12 @@
     }
 }
 
-QuarantineUpdate QuarantineController::updateOf(std::vector<SuspectedRequest> requests)
+QuarantineUpdate QuarantineController::makeUpdate(std::vector<SuspectedRequest> requests)
 {
     return {state_.quarantine.digest(), spread_.inOneMessage(std::move(requests))};
 }
 
-std::string QuarantineController::page() const
+std::string QuarantineController::csvText() const
 {
     const TimePoint now = currentTime();
     std::string text = "fingerprint,crashes,age_ms\n";
--- a/src/sidecar/quarantinecontroller.h
+++ b/src/sidecar/quarantinecontroller.h
@@ -16,53 +16,54 @@
 namespace Egretpath
 {
 
-/// Tells other nodes of requests that end upstreams, and learns of them.
+/// Exchanges with other nodes which requests crash upstreams.
 ///
-/// A crash goes to the nodes that join the crashes of its service; a request that is refused from then on goes from
-/// node to node. A node that missed it, since it has just started or was cut off, learns with the next answer of any
-/// node that refuses something else than it does, to a call or to the question for news. Thread safety: none.
-/// Precondition: references outlive the controller.
+/// A crash is reported to the keepers of its service, which are the nodes that combine all its crashes. A request that
+/// is refused from then on is forwarded from node to node. A node that missed it, since it has just started or was cut
+/// off, learns of it from the next answer of any node that refuses other requests than it does. Both the answer to a
+/// call and the answer to a catalog request carry the digest that shows this. Thread safety: none. Precondition:
+/// references outlive the controller.
 class QuarantineController
 {
 public:
-    /// @p changed is called when requests are refused that were not before.
-    QuarantineController(boost::asio::any_io_executor executor, SidecarState &state, PeerClient &peers,
-                         std::function<void()> changed);
+    /// @p onChanged is called when further requests are refused.
+    QuarantineController(boost::asio::any_io_executor executor, SidecarState &state, PeerClient &peerClient,
+                         std::function<void()> onChanged);
 
     void start();
-    /// The settings were read again.
-    void settingsChanged();
-    /// The upstream beside this node has ended with @p held under way.
+    /// Applies the allowed requests of the current settings. To be called after each reload of the settings.
+    void applySettings();
+    /// The upstream beside this node exited while it held the requests @p held.
     void upstreamExited(UpstreamCrashId crash, const std::vector<HeldRequest> &held);
     /// See PeerService::quarantine().
     [[nodiscard]] QuarantineUpdate answer(const QuarantineUpdate &update);
-    /// @p peer has said in an answer which requests it refuses.
+    /// Records the digest of refused requests that @p peer reported in an answer.
     void recordDigest(const Endpoint &peer, QuarantineDigest digest);
-    /// The requests that are refused, for operators: one line each.
-    [[nodiscard]] std::string page() const;
+    /// The refused requests for operators, as CSV: a header line, then one line for each request.
+    [[nodiscard]] std::string csvText() const;
 
 private:
-    /// Tells @p node, several times if it does not answer, and takes what it knows more.
-    boost::asio::awaitable<void> tell(Endpoint node, std::vector<SuspectedRequest> requests);
-    void tellKeepers(const std::vector<SuspectedRequest> &known);
-    /// Takes what @p from says; passes on what is news.
-    void take(const std::vector<SuspectedRequest> &told, const std::string &from);
-    void noteRefused(const std::vector<SuspectedRequest> &refused, const std::string &from);
-    void passOn(const std::vector<SuspectedRequest> &refused);
-    boost::asio::awaitable<void> passOnAt(TimePoint due);
+    /// Sends @p requests to @p node, several times if it does not answer, and applies the further ones of its answer.
+    boost::asio::awaitable<void> sendUpdate(Endpoint node, std::vector<SuspectedRequest> requests);
+    void reportCrashes(const std::vector<SuspectedRequest> &known);
+    /// Applies what @p from reported, and forwards what is new.
+    void apply(const std::vector<SuspectedRequest> &received, const std::string &from);
+    void recordRefused(const std::vector<SuspectedRequest> &refused, const std::string &from);
+    void forward(const std::vector<SuspectedRequest> &refused);
+    boost::asio::awaitable<void> forwardAt(TimePoint due);
     boost::asio::awaitable<void> exchange(Endpoint peer);
-    boost::asio::awaitable<void> expireOldOnes();
-    [[nodiscard]] QuarantineUpdate updateOf(std::vector<SuspectedRequest> requests);
+    boost::asio::awaitable<void> expirePeriodically();
+    [[nodiscard]] QuarantineUpdate makeUpdate(std::vector<SuspectedRequest> requests);
 
     boost::asio::any_io_executor executor_;
     SidecarState &state_;
-    PeerClient &peers_;
-    std::function<void()> changed_;
+    PeerClient &peerClient_;
+    std::function<void()> onChanged_;
     QuarantineSpread spread_;
     UpstreamExits exits_;
-    bool exchanging_ = false;
-    TimePoint nextExchange_;
-    Duration exchangePause_;
+    bool isExchanging_ = false;
+    TimePoint nextExchangeAt_;
+    Duration exchangeInterval_;
 };
 
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -32,40 +32,41 @@
 namespace
 {
 
-/// Descriptors are few on the smallest VMs; callers come with dozens of connections each.
-constexpr std::size_t CallerConnections = 1500;
-constexpr std::size_t PeerConnections = 1500;
-constexpr std::size_t ProbeConnections = 64;
-constexpr Milliseconds IdleSweep{10'000};
-constexpr Milliseconds PeerIdleTime{60'000};
-/// Callers reuse connections that were idle for up to four fifths of the published time; this much more keeps a request
-/// from crossing the close.
-constexpr double IdleTimeMargin = 1.25;
-
-/// The platform stops sending callers here two checks, a second apart, after a node is not ready any more.
-constexpr Milliseconds LeastStopTime{2400};
-/// Nobody sends anything more when nothing was under way for so long. The calls of an upstream that runs on beside the
-/// node never quite end, so that a longer silence may not come.
-constexpr Milliseconds QuietBeforeEnd{120};
-/// From here to the end of the grace time the process ends by itself; SIGKILL would cut what it still writes.
-constexpr Milliseconds EndBeforeGrace{250};
-constexpr Milliseconds StopStep{50};
+/// Limits on connections, since the smallest VMs have few file descriptors. Each caller opens dozens of connections.
+constexpr std::size_t MaxCallerConnections = 1500;
+constexpr std::size_t MaxPeerConnections = 1500;
+constexpr std::size_t MaxProbeConnections = 64;
+constexpr Milliseconds IdleCheckInterval{10'000};
+constexpr Milliseconds MaxPeerIdleTime{60'000};
+/// Callers reuse connections that were idle for up to four fifths of the published idle time. The node waits longer by
+/// this factor, so that it doesn't close a connection while a request is on its way.
+constexpr double IdleTimeFactor = 1.25;
+
+/// The platform stops sending callers to a node only after two readiness checks, a second apart, have failed.
+constexpr Milliseconds MinStopTime{2400};
+/// When no request was in progress for this long, the node assumes that nobody sends anything more. An upstream that
+/// still runs beside the node goes on sending calls, so that a longer quiet time may never come.
+constexpr Milliseconds QuietTimeBeforeExit{120};
+/// The process exits by itself this long before the end of the grace time. SIGKILL at its end would cut off what the
+/// process still writes.
+constexpr Milliseconds ExitMargin{250};
+constexpr Milliseconds StopPollInterval{50};
 
 HttpLimits callerLimits(const CallerLimits &limits)
 {
     HttpLimits http;
     http.headerBytes = static_cast<std::uint32_t>(limits.headerBytes.value());
     http.bodyBytes = limits.bodyBytes.value();
-    http.connections = CallerConnections;
+    http.connections = MaxCallerConnections;
     http.headerReadTime = limits.headerTime;
-    http.idleTime = std::chrono::duration_cast<Duration>(limits.idleTime * IdleTimeMargin);
+    http.idleTime = std::chrono::duration_cast<Duration>(limits.idleTime * IdleTimeFactor);
     return http;
 }
 
 HttpLimits probeLimits()
 {
     HttpLimits http;
-    http.connections = ProbeConnections;
+    http.connections = MaxProbeConnections;
     http.bodyBytes = 0;
     return http;
 }
@@ -95,24 +96,25 @@
         , executor_(context.get_executor())
         , platform_(std::move(platform))
         , state_(settings, drawIncarnation(), systemSeed())
-        , peers_(context)
+        , peerClient_(context)
         , egress_(executor_, egressSettings(settings, decisions), state_.self, *platform_.upstreams, state_.log,
                   state_.metrics, state_.quarantine, Random(state_.random()))
         , ingress_(executor_, ingressPlace(state_), IngressSources{state_.routes, state_.directory, state_.quarantine},
-                   *platform_.callers, egress_, peers_, state_.log, state_.metrics, Random(state_.random()),
+                   *platform_.callers, egress_, peerClient_, state_.log, state_.metrics, Random(state_.random()),
                    decisions.ingress)
-        , catalog_(executor_, state_, *platform_.catalog, peers_, decisions, [this] { catalogChanged(); })
-        , quarantine_(executor_, state_, peers_, [this] { egress_.quarantineChanged(); })
-        , peerServer_(context, *this, PeerConnections)
-        , callers_(executor_, callerLimits(CallerLimits()),
-                   [this](HttpExchange &exchange) { return ingress_.serve(exchange); })
-        , ready_(executor_, probeLimits(), [this](HttpExchange &exchange) { return serveReadiness(exchange); })
-        , operators_(executor_, probeLimits(), [this](HttpExchange &exchange) { return serveOperators(exchange); })
+        , catalog_(executor_, state_, *platform_.catalog, peerClient_, decisions, [this] { catalogChanged(); })
+        , quarantine_(executor_, state_, peerClient_, [this] { egress_.quarantineChanged(); })
+        , peerServer_(context, *this, MaxPeerConnections)
+        , callerServer_(executor_, callerLimits(CallerLimits()),
+                        [this](HttpExchange &exchange) { return ingress_.serve(exchange); })
+        , readinessServer_(executor_, probeLimits(),
+                           [this](HttpExchange &exchange) { return serveReadiness(exchange); })
+        , operatorServer_(executor_, probeLimits(), [this](HttpExchange &exchange) { return serveOperators(exchange); })
     {
-        setRepeatLimits();
+        applyRepeatLimits();
         ingress_.setLinkPrices(state_.settings.linkPrices);
         if (decisions.compressesPaidLinks) {
-            peers_.setPaidLinks([this](const Endpoint &peer) { return isInOtherRegion(peer); });
+            peerClient_.setPaidLinks([this](const Endpoint &peer) { return isInOtherRegion(peer); });
         }
         ingress_.onOutcome([this](const Endpoint &peer, const CallOutcome &outcome) {
             catalog_.recordVersions(peer, outcome.catalog);
@@ -123,7 +125,7 @@
         egress_.onUpstreamExit([this](UpstreamCrashId crash, const std::vector<HeldRequest> &held) {
             quarantine_.upstreamExited(crash, held);
         });
-        ingress_.onNoRoutes([this] { catalog_.noteCallerWaits(); });
+        ingress_.onNoRoutes([this] { catalog_.recordWaitingCaller(); });
     }
 
     Result<void> start()
@@ -131,21 +133,21 @@
         if (auto listening = listenForPeers(); !listening) {
             return listening.error();
         }
-        if (auto listening = callers_.listen(state_.settings.callers); !listening) {
+        if (auto listening = callerServer_.listen(state_.settings.callers); !listening) {
             return listening.error();
         }
-        if (auto listening = ready_.listen(state_.settings.ready); !listening) {
+        if (auto listening = readinessServer_.listen(state_.settings.ready); !listening) {
             return listening.error();
         }
         if (!state_.settings.metrics.value().empty()) {
-            if (auto listening = operators_.listen(state_.settings.metrics); !listening) {
+            if (auto listening = operatorServer_.listen(state_.settings.metrics); !listening) {
                 return listening.error();
             }
         }
         logStart();
         catalog_.start();
         quarantine_.start();
-        asio::co_spawn(executor_, sweepIdle(), asio::detached);
+        asio::co_spawn(executor_, closeIdleConnections(), asio::detached);
         return boost::outcome_v2::success();
     }
 
@@ -157,8 +159,8 @@
         state_.settings.grace = settings.grace;
         state_.settings.linkPrices = settings.linkPrices;
         state_.settings.allowedRequests = settings.allowedRequests;
-        quarantine_.settingsChanged();
-        setRepeatLimits();
+        quarantine_.applySettings();
+        applyRepeatLimits();
         ingress_.setLinkPrices(state_.settings.linkPrices);
         state_.log.info(StructuredLine("reload").add("seeds", std::uint64_t{settings.seeds.size()}));
     }
@@ -170,23 +172,23 @@
         }
     }
 
-    void recordEscapedError(std::string_view what)
+    void recordEscapedError(std::string_view error)
     {
         state_.metrics.count("egretpath_escaped_errors_total");
-        state_.log.error(StructuredLine("escaped-error").add("what", what));
+        state_.log.error(StructuredLine("escaped-error").add("what", error));
     }
 
     void stop()
     {
-        if (std::exchange(state_.stopping, true)) {
+        if (std::exchange(state_.isStopping, true)) {
             return;
         }
         state_.log.info(StructuredLine("stop").add("state", "requested"));
-        callers_.leaveCallers();
+        callerServer_.leaveCallers();
         asio::co_spawn(executor_, drain(), asio::detached);
     }
 
-    // PeerService
+    // Implementation of PeerService.
     asio::awaitable<CallOutcome> call(CallHead head, std::string body, std::shared_ptr<AnswerReceiver> answer,
                                       std::shared_ptr<Cancellation> cancellation) override
     {
@@ -230,37 +232,37 @@
         state_.log.info(line);
     }
 
-    void setRepeatLimits() { ingress_.setRepeatLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
+    void applyRepeatLimits() { ingress_.setRepeatLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
 
     void catalogChanged()
     {
         if (state_.routes) {
-            callers_.setLimits(callerLimits(state_.routes->limits()));
+            callerServer_.setLimits(callerLimits(state_.routes->limits()));
             if (const ServiceEntry *service = state_.routes->service(state_.settings.service)) {
                 egress_.setHealthPath(service->healthPath);
                 egress_.setConnectionCap(service->connectionCap);
             }
         }
-        noteReady();
+        reportReady();
         egress_.setListed(state_.directory.findByAddress(state_.settings.upstream));
         ingress_.catalogChanged();
     }
 
-    /// The first time that callers may be sent here.
-    void noteReady()
+    /// Logs the first time that callers may be sent to this node.
+    void reportReady()
     {
-        if (!state_.isReady() || std::exchange(wasReady_, true)) {
+        if (!state_.isReady() || std::exchange(hasBeenReady_, true)) {
             return;
         }
-        const Milliseconds after = timeSince(started_);
-        state_.log.info(StructuredLine("ready").add("after_ms", after.count()));
-        state_.metrics.set("egretpath_ready_after_seconds", {}, std::chrono::duration<double>(after).count());
+        const Milliseconds timeToReady = timeSince(startedAt_);
+        state_.log.info(StructuredLine("ready").add("after_ms", timeToReady.count()));
+        state_.metrics.set("egretpath_ready_after_seconds", {}, std::chrono::duration<double>(timeToReady).count());
     }
 
     asio::awaitable<void> serveReadiness(HttpExchange &exchange)
     {
-        const bool known = exchange.head().target == platform_.callers->readinessPath();
-        const HttpResponseHead head(!known ? 404 : state_.isReady() ? 200 : 503);
+        const bool isReadinessPath = exchange.head().target == platform_.callers->readinessPath();
+        const HttpResponseHead head(!isReadinessPath ? 404 : state_.isReady() ? 200 : 503);
         [[maybe_unused]] const Result<void> sent = co_await exchange.respond(head, std::string());
     }
 
@@ -273,7 +275,7 @@
             return servePage(exchange, "text/csv", state_.routes ? toCsv(*state_.routes) : std::string());
         }
         if (exchange.head().target == "/quarantine") {
-            return servePage(exchange, "text/csv", quarantine_.page());
+            return servePage(exchange, "text/csv", quarantine_.csvText());
         }
         return serveMetrics(exchange);
     }
@@ -315,13 +317,13 @@
         [[maybe_unused]] const Result<void> sent = co_await exchange.respond(std::move(head), state_.metrics.text());
     }
 
-    asio::awaitable<void> sweepIdle()
+    asio::awaitable<void> closeIdleConnections()
     {
         asio::steady_timer timer(executor_);
         while (true) {
-            timer.expires_after(IdleSweep);
+            timer.expires_after(IdleCheckInterval);
             co_await timer.async_wait(asio::use_awaitable);
-            peers_.closeIdle(currentTime(), PeerIdleTime);
+            peerClient_.closeIdle(currentTime(), MaxPeerIdleTime);
         }
     }
 
@@ -329,27 +331,27 @@
 
     asio::awaitable<void> drain()
     {
-        const TimePoint begun = currentTime();
-        const TimePoint end = begun + std::max<Duration>(state_.settings.grace - EndBeforeGrace, Duration{0});
-        const TimePoint least = std::min<TimePoint>(begun + LeastStopTime, end);
-        // A request that outlasts the process would be cut; its caller is told at once that it has not run, and when
-        // another process will be here.
+        const TimePoint startedAt = currentTime();
+        const TimePoint end = startedAt + std::max<Duration>(state_.settings.grace - ExitMargin, Duration{0});
+        const TimePoint earliestEnd = std::min<TimePoint>(startedAt + MinStopTime, end);
+        // A request that outlasts the process would be cut off. So the ingress refuses it at once: its caller is told
+        // that it has not run, and when the next process will be here.
         ingress_.beginStop(end);
-        TimePoint lastBusy = begun;
+        TimePoint lastBusy = startedAt;
         asio::steady_timer timer(executor_);
-        while (currentTime() < end && (currentTime() < least || currentTime() - lastBusy < QuietBeforeEnd)) {
+        while (currentTime() < end && (currentTime() < earliestEnd || currentTime() - lastBusy < QuietTimeBeforeExit)) {
             if (!isIdle()) {
                 lastBusy = currentTime();
             }
-            egress_.setDraining(currentTime() >= least);
-            timer.expires_after(StopStep);
+            egress_.setDraining(currentTime() >= earliestEnd);
+            timer.expires_after(StopPollInterval);
             co_await timer.async_wait(asio::use_awaitable);
         }
-        // What arrives on connections that are just being closed is refused and not taken.
+        // Requests that still arrive on connections which are being closed are refused.
         ingress_.close();
-        callers_.stopAccepting();
-        while (currentTime() < end && !(isIdle() && callers_.connectionCount() == 0)) {
-            timer.expires_after(StopStep);
+        callerServer_.stopAccepting();
+        while (currentTime() < end && !(isIdle() && callerServer_.connectionCount() == 0)) {
+            timer.expires_after(StopPollInterval);
             co_await timer.async_wait(asio::use_awaitable);
         }
         state_.log.info(StructuredLine("stop").add("state", isIdle() ? "drained" : "grace-over"));
@@ -360,17 +362,17 @@
     asio::any_io_executor executor_;
     SidecarPlatform platform_;
     SidecarState state_;
-    PeerClient peers_;
+    PeerClient peerClient_;
     EgressRole egress_;
     IngressRole ingress_;
     CatalogController catalog_;
     QuarantineController quarantine_;
     PeerServer peerServer_;
-    HttpServer callers_;
-    HttpServer ready_;
-    HttpServer operators_;
-    TimePoint started_ = currentTime();
-    bool wasReady_ = false;
+    HttpServer callerServer_;
+    HttpServer readinessServer_;
+    HttpServer operatorServer_;
+    TimePoint startedAt_ = currentTime();
+    bool hasBeenReady_ = false;
 };
 
 Sidecar::Sidecar(asio::io_context &context, const SidecarSettings &settings, SidecarPlatform platform,
@@ -396,9 +398,9 @@
     implementation_->reloadRefused(problems);
 }
 
-void Sidecar::recordEscapedError(std::string_view what)
+void Sidecar::recordEscapedError(std::string_view error)
 {
-    implementation_->recordEscapedError(what);
+    implementation_->recordEscapedError(error);
 }
 
 void Sidecar::stop()
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -17,7 +17,8 @@
 namespace Egretpath
 {
 
-/// What a platform brings: its fields towards callers and upstreams, and where routes and upstreams are read.
+/// The platform-specific parts of a node: the HTTP header fields towards callers and upstreams, and the source of
+/// routes and instance list.
 struct SidecarPlatform
 {
     std::unique_ptr<CallerDialect> callers;
@@ -27,7 +28,8 @@
 
 /// One node beside an upstream on a platform: the daemon with its ingress and egress roles.
 ///
-/// Preconditions: an AsioEventPort on this thread owns @p context; one for each thread. Thread safety: none.
+/// Preconditions: an AsioEventPort on this thread owns @p context, and there is one port for each thread. Thread
+/// safety: none.
 class Sidecar
 {
 public:
@@ -37,17 +39,17 @@
     Sidecar(const Sidecar &) = delete;
     Sidecar &operator=(const Sidecar &) = delete;
 
-    /// Binds all listeners and begins to work. Errors: ConnectFailed, when an address can't be bound.
+    /// Binds all listeners and starts serving. Errors: ConnectFailed if an address can't be bound.
     [[nodiscard]] Result<void> start();
-    /// Puts in force what may change while the node runs: seeds, limits of repeats, the grace time. The rest, addresses
-    /// and places, needs a restart.
+    /// Applies the settings that may change while the node runs: seeds, retry limits, grace time, link prices and
+    /// allowed requests. The other settings, such as addresses and locations, need a restart.
     void reload(const SidecarSettings &settings);
-    /// The settings that were to be put in force can't be used; those in force stay.
+    /// Logs that the reloaded settings can't be used. The current settings stay.
     void reloadRefused(const SettingsProblems &problems);
-    /// An error that nothing caught reached the event loop; for the log.
-    void recordEscapedError(std::string_view what);
-    /// Begins the planned stop: not ready from now on, serving until the grace time is nearly over or nobody sends
-    /// anything more, then the context is stopped. Further calls do nothing.
+    /// Logs and counts an error that reached the event loop uncaught.
+    void recordEscapedError(std::string_view error);
+    /// Starts the planned stop. The node is not ready from now on, but serves until the grace time is nearly over or
+    /// nobody sends anything more. Then it stops the context. Further calls do nothing.
     void stop();
 
 private:
--- a/src/sidecar/sidecarstate.cpp
+++ b/src/sidecar/sidecarstate.cpp
@@ -28,7 +28,7 @@
 {
 }
 
-Endpoint SidecarState::ownNode() const
+Endpoint SidecarState::ownAddress() const
 {
     const InstanceRecord *own = directory.findByAddress(settings.upstream);
     return own == nullptr ? settings.peers : own->node;
--- a/src/sidecar/sidecarstate.h
+++ b/src/sidecar/sidecarstate.h
@@ -13,7 +13,7 @@
 namespace Egretpath
 {
 
-/// What the controllers of one node share: each fact has one writer, named beside it, and many readers.
+/// State that the controllers of one node share. Each member has one writer, named in its comment, and many readers.
 ///
 /// Thread safety: none; all controllers of a node run on one thread.
 struct SidecarState
@@ -28,21 +28,21 @@
     EventLog log;
     Metrics metrics;
 
-    /// The routes in force; null until some were read. Written by CatalogController.
+    /// The active routes; null until the first ones were read. Written by CatalogController.
     RouteTablePointer routes;
-    /// As the platform published them, for other nodes. Written by CatalogController.
+    /// The active routes as the platform published them, for other nodes. Written by CatalogController.
     PackedRoutes packedRoutes;
     /// Written by CatalogController.
     InstanceDirectory directory;
     /// Written by QuarantineController.
     Quarantine quarantine;
-    /// The node was told to stop. Written by Sidecar.
-    bool stopping = false;
+    /// Whether the node was told to stop. Written by Sidecar.
+    bool isStopping = false;
 
-    /// Under which address other nodes find this one.
-    [[nodiscard]] Endpoint ownNode() const;
-    /// Whether callers may be sent here.
-    [[nodiscard]] bool isReady() const { return routes && directory.hasList() && !stopping; }
+    /// The address at which other nodes reach this one.
+    [[nodiscard]] Endpoint ownAddress() const;
+    /// Whether callers may be sent to this node.
+    [[nodiscard]] bool isReady() const { return routes && directory.hasList() && !isStopping; }
 };
 
 }
