--- a/src/daemons/sidecarprogram.cpp
+++ b/src/daemons/sidecarprogram.cpp
@@ -56,7 +56,7 @@
     if (settings) {
         sidecar.reload(settings.value());
     } else {
-        sidecar.reloadRefused(settings.error());
+        sidecar.recordRefusedReload(settings.error());
     }
 }
 
--- a/src/sidecar/catalogcontents.cpp
+++ b/src/sidecar/catalogcontents.cpp
@@ -79,7 +79,7 @@
     }
     Result<std::string> text = unpackRoutes(catalog.routes);
     Result<PublishedRoutes> routes =
-        text ? source_.readRoutes(std::move(text).value()) : Result<PublishedRoutes>(text.error());
+        text ? source_.parseRoutes(std::move(text).value()) : Result<PublishedRoutes>(text.error());
     if (!routes) {
         log_.logRefusedEntry(peer.value(), routes.error().detail);
         return;
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -122,19 +122,19 @@
     newerPeer_ = NewerPeer{peer, versions, since};
 }
 
-void CatalogController::routesRead(PublishedRoutes routes)
+void CatalogController::onRoutesRead(PublishedRoutes routes)
 {
     plan_.recordStoreRead(currentTime());
     contents_.applyRoutesFromStore(std::move(routes));
 }
 
-void CatalogController::listRead(const InstanceSnapshot &snapshot)
+void CatalogController::onListRead(const InstanceSnapshot &snapshot)
 {
     plan_.recordStoreRead(currentTime());
     contents_.applyListFromStore(snapshot);
 }
 
-void CatalogController::changesRead(const std::vector<InstanceChange> &changes, StoreRevision reached)
+void CatalogController::onChangesRead(const std::vector<InstanceChange> &changes, StoreRevision reached)
 {
     contents_.applyChangesFromStore(changes, reached);
     wakeWaitingRequests();
@@ -155,7 +155,7 @@
     onChanged_();
 }
 
-void CatalogController::sourceLost(std::string_view reason)
+void CatalogController::onSourceLost(std::string_view reason)
 {
     plan_.ownReadingLost(currentTime());
     log_.logSourceLost(reason);
@@ -163,7 +163,7 @@
     wakeWaitingRequests();
 }
 
-void CatalogController::sourceBack()
+void CatalogController::onSourceRestored()
 {
     const std::optional<Endpoint> before = plan_.following();
     const auto since = plan_.ownLostSince();
--- a/src/sidecar/catalogcontroller.h
+++ b/src/sidecar/catalogcontroller.h
@@ -53,13 +53,13 @@
     /// Records that a caller was refused because this node has no routes yet.
     void recordWaitingCaller() { bootstrap_.recordWaitingCaller(); }
 
-    void routesRead(PublishedRoutes routes) override;
-    void listRead(const InstanceSnapshot &snapshot) override;
-    void changesRead(const std::vector<InstanceChange> &changes, StoreRevision reached) override;
-    void sourceLost(std::string_view reason) override;
-    void sourceBack() override;
-    void entryRefused(std::string_view key, std::string_view reason) override { log_.logRefusedEntry(key, reason); }
-    void storeCalled(std::string_view call, std::string_view outcome) override { log_.countStoreCall(call, outcome); }
+    void onRoutesRead(PublishedRoutes routes) override;
+    void onListRead(const InstanceSnapshot &snapshot) override;
+    void onChangesRead(const std::vector<InstanceChange> &changes, StoreRevision reached) override;
+    void onSourceLost(std::string_view reason) override;
+    void onSourceRestored() override;
+    void onEntryRefused(std::string_view key, std::string_view reason) override { log_.logRefusedEntry(key, reason); }
+    void onStoreCalled(std::string_view call, std::string_view outcome) override { log_.countStoreCall(call, outcome); }
 
 private:
     /// A node that has newer versions than this one. @p since is when this node first learned that any node has.
--- a/src/sidecar/catalogsource.h
+++ b/src/sidecar/catalogsource.h
@@ -28,18 +28,18 @@
 public:
     virtual ~CatalogSink() = default;
 
-    virtual void routesRead(PublishedRoutes routes) = 0;
-    virtual void listRead(const InstanceSnapshot &snapshot) = 0;
+    virtual void onRoutesRead(PublishedRoutes routes) = 0;
+    virtual void onListRead(const InstanceSnapshot &snapshot) = 0;
     /// @p reached: all changes up to this revision are in @p changes or were reported before.
-    virtual void changesRead(const std::vector<InstanceChange> &changes, StoreRevision reached) = 0;
+    virtual void onChangesRead(const std::vector<InstanceChange> &changes, StoreRevision reached) = 0;
     /// The platform's store can't be read. Called once for each loss.
-    virtual void sourceLost(std::string_view reason) = 0;
+    virtual void onSourceLost(std::string_view reason) = 0;
     /// The store answers again.
-    virtual void sourceBack() = 0;
+    virtual void onSourceRestored() = 0;
     /// The entry at @p key was read but can't be used. The active routes and list stay.
-    virtual void entryRefused(std::string_view key, std::string_view reason) = 0;
+    virtual void onEntryRefused(std::string_view key, std::string_view reason) = 0;
     /// A call to the store ended. @p call names its purpose and @p outcome its result; both are for metrics.
-    virtual void storeCalled(std::string_view call, std::string_view outcome) = 0;
+    virtual void onStoreCalled(std::string_view call, std::string_view outcome) = 0;
 };
 
 /// Reads routes and the instance list from a platform's store. One implementation for each platform.
@@ -62,7 +62,7 @@
     /// Whether this node could read the store now, found out by the cheapest call that it offers.
     [[nodiscard]] virtual boost::asio::awaitable<bool> isReachable() = 0;
     /// Parses routes that another node read from the store. Errors: the reason that they can't be used.
-    [[nodiscard]] virtual Result<PublishedRoutes> readRoutes(std::string text) const = 0;
+    [[nodiscard]] virtual Result<PublishedRoutes> parseRoutes(std::string text) const = 0;
 };
 
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -165,7 +165,7 @@
         state_.log.info(StructuredLine("reload").add("seeds", std::uint64_t{settings.seeds.size()}));
     }
 
-    void reloadRefused(const SettingsProblems &problems)
+    void recordRefusedReload(const SettingsProblems &problems)
     {
         for (const SettingsProblem &problem : problems) {
             state_.log.error(StructuredLine("reload-refused").add("problem", toString(problem)));
@@ -393,9 +393,9 @@
     implementation_->reload(settings);
 }
 
-void Sidecar::reloadRefused(const SettingsProblems &problems)
+void Sidecar::recordRefusedReload(const SettingsProblems &problems)
 {
-    implementation_->reloadRefused(problems);
+    implementation_->recordRefusedReload(problems);
 }
 
 void Sidecar::recordEscapedError(std::string_view error)
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -45,7 +45,7 @@
     /// allowed requests. The other settings, such as addresses and locations, need a restart.
     void reload(const SidecarSettings &settings);
     /// Logs that the reloaded settings can't be used. The current settings stay.
-    void reloadRefused(const SettingsProblems &problems);
+    void recordRefusedReload(const SettingsProblems &problems);
     /// Logs and counts an error that reached the event loop uncaught.
     void recordEscapedError(std::string_view error);
     /// Starts the planned stop. The node is not ready from now on, but serves until the grace time is nearly over or
--- a/tests/adapter/storewatchertest.cpp
+++ b/tests/adapter/storewatchertest.cpp
@@ -48,22 +48,22 @@
 class RecordingSink final : public CatalogSink
 {
 public:
-    void routesRead(PublishedRoutes routes) override { version = routes.table->version(); }
-    void listRead(const InstanceSnapshot &snapshot) override
+    void onRoutesRead(PublishedRoutes routes) override { version = routes.table->version(); }
+    void onListRead(const InstanceSnapshot &snapshot) override
     {
         ++lists;
         listed = snapshot.records.size();
     }
-    void changesRead(const std::vector<InstanceChange> &changes, StoreRevision /*reached*/) override
+    void onChangesRead(const std::vector<InstanceChange> &changes, StoreRevision /*reached*/) override
     {
         for (const InstanceChange &change : changes) {
             changed.push_back(change.id.value());
         }
     }
-    void sourceLost(std::string_view /*why*/) override { lost = true; }
-    void sourceBack() override { lost = false; }
-    void entryRefused(std::string_view key, std::string_view /*why*/) override { refused.emplace_back(key); }
-    void storeCalled(std::string_view /*call*/, std::string_view outcome) override { ++calls[std::string(outcome)]; }
+    void onSourceLost(std::string_view /*why*/) override { lost = true; }
+    void onSourceRestored() override { lost = false; }
+    void onEntryRefused(std::string_view key, std::string_view /*why*/) override { refused.emplace_back(key); }
+    void onStoreCalled(std::string_view /*call*/, std::string_view outcome) override { ++calls[std::string(outcome)]; }
 
     RouteVersion version;
     std::size_t listed = 0;
--- a/tests/sidecar/fakecatalog.cpp
+++ b/tests/sidecar/fakecatalog.cpp
@@ -30,7 +30,7 @@
     {
         auto &sinks = catalog_.readingSinks_;
         if (!isReachable_) {
-            sink_->sourceLost("the test says so");
+            sink_->onSourceLost("the test says so");
             return;
         }
         if (std::find(sinks.begin(), sinks.end(), sink_) != sinks.end()) {
@@ -38,18 +38,18 @@
         }
         if (catalog_.isUnavailable_) {
             sinks.push_back(sink_);
-            sink_->sourceLost("the test says so");
+            sink_->onSourceLost("the test says so");
             return;
         }
         if (wasLost) {
-            sink_->sourceBack();
+            sink_->onSourceRestored();
         }
         sinks.push_back(sink_);
         if (catalog_.version_ > 0) {
-            sink_->routesRead(readRoutes(catalog_.routesText()).value());
+            sink_->onRoutesRead(parseRoutes(catalog_.routesText()).value());
         }
         if (catalog_.isListPublished_) {
-            sink_->listRead(catalog_.snapshot());
+            sink_->onListRead(catalog_.snapshot());
         }
     }
 
@@ -64,7 +64,7 @@
     FakeSource(const FakeSource &) = delete;
     FakeSource &operator=(const FakeSource &) = delete;
 
-    [[nodiscard]] Result<PublishedRoutes> readRoutes(std::string text) const override
+    [[nodiscard]] Result<PublishedRoutes> parseRoutes(std::string text) const override
     {
         Result<RouteTablePointer> table = Platform::routesFromJson(text);
         if (!table) {
@@ -107,7 +107,7 @@
 {
     version_ = version;
     notifyReaders([this](CatalogSink &sink) {
-        sink.routesRead({Platform::routesFromJson(routesText()).value(), routesText()});
+        sink.onRoutesRead({Platform::routesFromJson(routesText()).value(), routesText()});
     });
 }
 
@@ -115,7 +115,7 @@
 {
     ++revision_;
     isListPublished_ = true;
-    notifyReaders([this](CatalogSink &sink) { sink.listRead(snapshot()); });
+    notifyReaders([this](CatalogSink &sink) { sink.onListRead(snapshot()); });
 }
 
 void FakeCatalog::add(const FakeUpstream &upstream, const Endpoint &node, const std::string &service)
@@ -136,7 +136,7 @@
     records_.erase(id);
     ++revision_;
     notifyReaders([&](CatalogSink &sink) {
-        sink.changesRead({{UpstreamName(id), StoreRevision(revision_), std::nullopt}}, StoreRevision(revision_));
+        sink.onChangesRead({{UpstreamName(id), StoreRevision(revision_), std::nullopt}}, StoreRevision(revision_));
     });
 }
 
@@ -151,13 +151,13 @@
 void FakeCatalog::drain(const std::string &id)
 {
     const InstanceChange change = markDraining(id);
-    notifyReaders([&](CatalogSink &sink) { sink.changesRead({change}, change.revision); });
+    notifyReaders([&](CatalogSink &sink) { sink.onChangesRead({change}, change.revision); });
 }
 
 void FakeCatalog::announceDrainOnlyTo(std::size_t node, const std::string &id)
 {
     const InstanceChange change = markDraining(id);
-    allSinks_.at(node)->changesRead({change}, change.revision);
+    allSinks_.at(node)->onChangesRead({change}, change.revision);
 }
 
 bool FakeCatalog::isReading(std::size_t node) const
@@ -168,22 +168,22 @@
 void FakeCatalog::publishRoutesOnlyTo(std::size_t node, std::uint64_t version)
 {
     version_ = version;
-    allSinks_.at(node)->routesRead({Platform::routesFromJson(routesText()).value(), routesText()});
+    allSinks_.at(node)->onRoutesRead({Platform::routesFromJson(routesText()).value(), routesText()});
 }
 
 void FakeCatalog::lose()
 {
-    notifyReaders([](CatalogSink &sink) { sink.sourceLost("the test says so"); });
+    notifyReaders([](CatalogSink &sink) { sink.onSourceLost("the test says so"); });
 }
 
 void FakeCatalog::lose(std::size_t node)
 {
-    allSinks_.at(node)->sourceLost("the test says so");
+    allSinks_.at(node)->onSourceLost("the test says so");
 }
 
 void FakeCatalog::restore()
 {
-    notifyReaders([](CatalogSink &sink) { sink.sourceBack(); });
+    notifyReaders([](CatalogSink &sink) { sink.onSourceRestored(); });
 }
 
 void FakeCatalog::setUnavailable(bool isUnavailable)
