--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -10,14 +10,16 @@
 namespace
 {
 
-/// More tell nothing new, also where all of them are of upstreams that flap; messages stay small.
-constexpr std::size_t MostCrashesKept = 4;
+/// Crashes remembered of one request. Four are enough to refuse a request even if all were of upstreams that flap, so
+/// further ones add nothing. The limit keeps messages small.
+constexpr std::size_t MaxCrashesKept = 4;
 
-Milliseconds between(TimePoint from, TimePoint to)
+Milliseconds elapsed(TimePoint from, TimePoint to)
 {
     return std::max(std::chrono::duration_cast<Milliseconds>(to - from), Milliseconds{0});
 }
 
+/// Adds @p request to the set that @p digest stands for, or removes it. The result does not depend on the order.
 QuarantineDigest toggled(QuarantineDigest digest, const RequestFingerprint &request)
 {
     return QuarantineDigest(digest.value() ^ request.digest.low);
@@ -47,20 +49,21 @@
         if (allowed_.contains(request)) {
             continue;
         }
-        const bool refusedNow = add(request, crash, now);
-        result.known.push_back(toldOf(*entries_.find(request), now));
-        if (refusedNow) {
+        const bool isNewlyRefused = add(request, crash, now);
+        result.known.push_back(suspectedRequestOf(*entries_.find(request), now));
+        if (isNewlyRefused) {
             result.refused.push_back(result.known.back());
         }
     }
     return result;
 }
 
-std::vector<SuspectedRequest> Quarantine::take(const std::vector<SuspectedRequest> &told, TimePoint now)
+std::vector<SuspectedRequest> Quarantine::take(const std::vector<SuspectedRequest> &reported, TimePoint now)
 {
     std::vector<SuspectedRequest> refused;
-    for (const SuspectedRequest &item : told) {
-        // What has run out at its sender must not begin anew here.
+    for (const SuspectedRequest &item : reported) {
+        // The refusal has expired at its sender. If it were added here, nodes would never forget it: each would learn
+        // of it again from a node that forgets it later.
         if (item.age >= settings_.refusalTime || allowed_.contains(item.fingerprint)) {
             continue;
         }
@@ -69,7 +72,7 @@
             isNew = add(item.fingerprint, crash, now - item.age) || isNew;
         }
         if (isNew) {
-            refused.push_back(toldOf(*entries_.find(item.fingerprint), now));
+            refused.push_back(suspectedRequestOf(*entries_.find(item.fingerprint), now));
         }
     }
     return refused;
@@ -77,38 +80,38 @@
 
 bool Quarantine::add(const RequestFingerprint &request, const UpstreamCrash &crash, TimePoint at)
 {
-    const auto [place, isNew] = entries_.try_emplace(request);
-    Entry &entry = place->second;
+    const auto [position, isNew] = entries_.try_emplace(request);
+    Entry &entry = position->second;
     entry.lastCrash = isNew ? at : std::max(entry.lastCrash, at);
     const bool isKnown = std::any_of(entry.crashes.begin(), entry.crashes.end(),
                                      [&crash](const UpstreamCrash &known) { return known.id == crash.id; });
-    if (isKnown || entry.crashes.size() >= MostCrashesKept) {
+    if (isKnown || entry.crashes.size() >= MaxCrashesKept) {
         return false;
     }
     const bool wasRefused = isRefused(entry);
     entry.crashes.push_back(crash);
-    const bool refusedNow = isRefused(entry) && !wasRefused;
-    if (refusedNow) {
-        ++refused_;
+    const bool isNewlyRefused = isRefused(entry) && !wasRefused;
+    if (isNewlyRefused) {
+        ++refusedCount_;
         digest_ = toggled(digest_, request);
     }
-    if (isNew || refusedNow) {
-        makeRoom(request, refusedNow);
+    if (isNew || isNewlyRefused) {
+        evictOldest(request, isNewlyRefused);
     }
-    return refusedNow;
+    return isNewlyRefused;
 }
 
-void Quarantine::makeRoom(const RequestFingerprint &kept, bool refused)
+void Quarantine::evictOldest(const RequestFingerprint &kept, bool amongRefused)
 {
-    const std::size_t count = refused ? refusedCount() : suspectedCount();
-    if (count <= (refused ? settings_.mostRefused : settings_.mostSuspected)) {
+    const std::size_t count = amongRefused ? refusedCount() : suspectedCount();
+    if (count <= (amongRefused ? settings_.maxRefused : settings_.maxSuspected)) {
         return;
     }
     auto oldest = entries_.end();
-    for (auto place = entries_.begin(); place != entries_.end(); ++place) {
-        const bool isCandidate = isRefused(place->second) == refused && place->first != kept;
-        if (isCandidate && (oldest == entries_.end() || place->second.lastCrash < oldest->second.lastCrash)) {
-            oldest = place;
+    for (auto position = entries_.begin(); position != entries_.end(); ++position) {
+        const bool isCandidate = isRefused(position->second) == amongRefused && position->first != kept;
+        if (isCandidate && (oldest == entries_.end() || position->second.lastCrash < oldest->second.lastCrash)) {
+            oldest = position;
         }
     }
     if (oldest != entries_.end()) {
@@ -116,31 +119,31 @@
     }
 }
 
-void Quarantine::erase(Entries::iterator place)
+void Quarantine::erase(Entries::iterator position)
 {
-    if (isRefused(place->second)) {
-        --refused_;
-        digest_ = toggled(digest_, place->first);
+    if (isRefused(position->second)) {
+        --refusedCount_;
+        digest_ = toggled(digest_, position->first);
     }
-    entries_.erase(place);
+    entries_.erase(position);
 }
 
-std::vector<SuspectedRequest> Quarantine::moreThan(const std::vector<SuspectedRequest> &told, TimePoint now) const
+std::vector<SuspectedRequest> Quarantine::moreThan(const std::vector<SuspectedRequest> &reported, TimePoint now) const
 {
-    std::vector<SuspectedRequest> more;
-    for (const SuspectedRequest &item : told) {
+    std::vector<SuspectedRequest> missing;
+    for (const SuspectedRequest &item : reported) {
         const auto found = entries_.find(item.fingerprint);
         if (found != entries_.end() && found->second.crashes.size() > item.crashes.size()) {
-            more.push_back(toldOf(*found, now));
+            missing.push_back(suspectedRequestOf(*found, now));
         }
     }
-    return more;
+    return missing;
 }
 
 void Quarantine::expire(TimePoint now)
 {
-    for (auto place = entries_.begin(); place != entries_.end();) {
-        const auto current = place++;
+    for (auto position = entries_.begin(); position != entries_.end();) {
+        const auto current = position++;
         if (now - current->second.lastCrash >= lifetime(current->second)) {
             erase(current);
         }
@@ -153,7 +156,7 @@
     if (found == entries_.end() || !isRefused(found->second)) {
         return std::nullopt;
     }
-    const Milliseconds age = between(found->second.lastCrash, now);
+    const Milliseconds age = elapsed(found->second.lastCrash, now);
     if (age >= settings_.refusalTime) {
         return std::nullopt;
     }
@@ -169,7 +172,7 @@
     std::vector<SuspectedRequest> all;
     for (const auto &item : entries_) {
         if (isRefused(item.second)) {
-            all.push_back(toldOf(item, now));
+            all.push_back(suspectedRequestOf(item, now));
         }
     }
     std::sort(all.begin(), all.end(),
@@ -191,9 +194,9 @@
     return isRefused(entry) ? settings_.refusalTime : settings_.suspicionTime;
 }
 
-SuspectedRequest Quarantine::toldOf(const Entries::value_type &item, TimePoint now)
+SuspectedRequest Quarantine::suspectedRequestOf(const Entries::value_type &item, TimePoint now)
 {
-    return {item.first, item.second.crashes, between(item.second.lastCrash, now)};
+    return {item.first, item.second.crashes, elapsed(item.second.lastCrash, now)};
 }
 
 }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -16,59 +16,65 @@
 /// Constants of Quarantine.
 struct QuarantineSettings
 {
-    /// Of upstreams, with the same request under way at each. One is chance: an upstream holds several requests.
+    /// Weighted number of upstream crashes with the same request under way from which the request is refused. One crash
+    /// proves nothing: an upstream holds several requests, and the others were under way by chance.
     double crashesToRefuse = 2.0;
-    /// What the crash of an upstream that flaps counts.
+    /// Weight of the crash of an upstream that flaps; any other crash weighs 1.
     double flappingWeight = 0.5;
-    /// After one crash; a caller that comes back later is one of many bystanders.
+    /// Time for which a suspected request is remembered after its last crash. A request that comes back later is most
+    /// likely one of the many that were under way at the crash by chance.
     Milliseconds suspicionTime = std::chrono::minutes(10);
-    /// After the last crash of a refused one.
+    /// Time for which a request is refused after its last crash.
     Milliseconds refusalTime = std::chrono::hours(24);
-    std::size_t mostSuspected = 2048;
-    std::size_t mostRefused = 1024;
+    /// Maximum number of requests that are remembered but not refused.
+    std::size_t maxSuspected = 2048;
+    /// Maximum number of requests that are refused.
+    std::size_t maxRefused = 1024;
 };
 
-/// What one more crash tells.
+/// What a crash of the upstream beside this node changed.
 struct CrashResult
 {
-    /// All that is known of the requests that were under way.
+    /// The requests that were under way, each with all its known crashes. Allowed requests are left out.
     std::vector<SuspectedRequest> known;
-    /// Those of them that are refused from now on.
+    /// The requests of `known` that are refused because of this crash.
     std::vector<SuspectedRequest> refused;
 };
 
-/// Decides which requests no upstream is to run any more, from the crashes that they were under way at.
+/// Decides which requests no upstream may run any more, from the upstream crashes during which they were under way.
 ///
-/// The load that it answers: a request that ends each upstream that runs it, and that its callers send again and again
-/// to any node. Each node that judges alone gives it another upstream; here the nodes join what they saw, by a name
-/// that all attempts share. Crashes are joined as sets of their ids, so that news may come twice, late and in any
-/// order. Thread safety: none; one owner. Errors: none.
+/// Load pattern: a request crashes each upstream that runs it, and its callers send it again and again to any node. If
+/// each node decided alone, each would let the request crash another upstream. The nodes therefore combine the crashes
+/// that they saw, under a fingerprint that all attempts of a request share. The crashes of a request are a set of crash
+/// ids, so a report may arrive twice, late and in any order. Thread safety: none; one owner. Errors: none.
 class Quarantine
 {
 public:
     explicit Quarantine(const QuarantineSettings &settings = {});
 
-    /// Operators say that these are to be run, whatever ends; replaces those of before.
+    /// Sets the requests that operators allow: they are run and never suspected, whatever crashes. Replaces the earlier
+    /// list, and forgets what is known of the requests on the new one.
     void setAllowed(const std::vector<RequestFingerprint> &requests);
-    /// The upstream beside this node has ended with @p held under way.
+    /// Records that the upstream beside this node has crashed with the requests @p held under way.
     CrashResult crashed(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now);
-    /// Takes what another node knows. Returns those that are refused from now on, and were not before.
-    std::vector<SuspectedRequest> take(const std::vector<SuspectedRequest> &told, TimePoint now);
-    /// What is known of the requests in @p told, where that is more.
-    [[nodiscard]] std::vector<SuspectedRequest> moreThan(const std::vector<SuspectedRequest> &told,
+    /// Adds what another node reported. Returns the requests that are refused from now on and were not before.
+    std::vector<SuspectedRequest> take(const std::vector<SuspectedRequest> &reported, TimePoint now);
+    /// Returns the requests of @p reported of which this node knows more crashes, with all the known crashes.
+    [[nodiscard]] std::vector<SuspectedRequest> moreThan(const std::vector<SuspectedRequest> &reported,
                                                          TimePoint now) const;
-    /// Forgets what is too old.
+    /// Forgets requests whose last crash is older than their suspicion or refusal time.
     void expire(TimePoint now);
 
-    /// No request is refused.
-    [[nodiscard]] bool refusesNone() const { return refused_ == 0; }
-    /// Why the request must not be run, with the time until it may be tried again; nothing if it may be run.
+    /// Whether no request is refused.
+    [[nodiscard]] bool refusesNone() const { return refusedCount_ == 0; }
+    /// Returns why the request must not be run, with the time after which it may be tried again, or nothing if it may
+    /// be run.
     [[nodiscard]] std::optional<Failure> rejection(const RequestFingerprint &request, TimePoint now) const;
     [[nodiscard]] QuarantineDigest digest() const { return digest_; }
-    /// Those that are refused, the latest crash first.
+    /// The refused requests, the one with the latest crash first.
     [[nodiscard]] std::vector<SuspectedRequest> refused(TimePoint now) const;
-    [[nodiscard]] std::size_t refusedCount() const { return refused_; }
-    [[nodiscard]] std::size_t suspectedCount() const { return entries_.size() - refused_; }
+    [[nodiscard]] std::size_t refusedCount() const { return refusedCount_; }
+    [[nodiscard]] std::size_t suspectedCount() const { return entries_.size() - refusedCount_; }
 
 private:
     struct Entry
@@ -80,17 +86,18 @@
 
     [[nodiscard]] bool isRefused(const Entry &entry) const;
     [[nodiscard]] Milliseconds lifetime(const Entry &entry) const;
-    [[nodiscard]] static SuspectedRequest toldOf(const Entries::value_type &item, TimePoint now);
-    /// Adds a crash of @p at. Returns whether the request is refused from now on, and was not before.
+    [[nodiscard]] static SuspectedRequest suspectedRequestOf(const Entries::value_type &item, TimePoint now);
+    /// Adds a crash that happened at @p at. Returns whether the request is refused from now on and was not before.
     bool add(const RequestFingerprint &request, const UpstreamCrash &crash, TimePoint at);
-    /// Forgets the oldest one beside @p kept if there are more like it than may be.
-    void makeRoom(const RequestFingerprint &kept, bool refused);
-    void erase(Entries::iterator place);
+    /// Forgets the request with the oldest last crash, other than @p kept, if there are more than the maximum. Looks at
+    /// the refused requests if @p amongRefused, else at the suspected ones.
+    void evictOldest(const RequestFingerprint &kept, bool amongRefused);
+    void erase(Entries::iterator position);
 
     QuarantineSettings settings_;
     std::unordered_set<RequestFingerprint> allowed_;
     Entries entries_;
-    std::size_t refused_ = 0;
+    std::size_t refusedCount_ = 0;
     QuarantineDigest digest_;
 };
 
--- a/src/quarantine/quarantinespread.cpp
+++ b/src/quarantine/quarantinespread.cpp
@@ -33,13 +33,13 @@
 std::vector<Endpoint> QuarantineSpread::keepers(const InstanceDirectory &directory, const ServiceName &service) const
 {
     const std::uint64_t seed = stableHash(service.value());
-    std::map<RegionName, std::vector<RankedNode>> byRegion;
+    std::map<RegionName, std::vector<RankedNode>> nodesByRegion;
     directory.forEachReady([&](const InstanceRecord &record) {
-        byRegion[record.location.region].push_back({stableHash(record.node.value(), seed), record.node});
+        nodesByRegion[record.location.region].push_back({stableHash(record.node.value(), seed), record.node});
     });
     std::vector<Endpoint> keepers;
-    for (auto &[region, nodes] : byRegion) {
-        const std::size_t count = std::min(settings_.keepersPerRegion, nodes.size());
+    for (auto &[region, nodes] : nodesByRegion) {
+        const std::size_t count = std::min(settings_.collectorsPerRegion, nodes.size());
         std::partial_sort(nodes.begin(), nodes.begin() + static_cast<std::ptrdiff_t>(count), nodes.end());
         for (std::size_t index = 0; index < count; ++index) {
             keepers.push_back(nodes[index].node);
@@ -50,34 +50,34 @@
 
 std::vector<Endpoint> QuarantineSpread::listeners(const InstanceDirectory &directory, const Endpoint &own)
 {
-    return anyPeers(directory, own, settings_.listeners, random_);
+    return anyPeers(directory, own, settings_.fanout, random_);
 }
 
 std::optional<TimePoint> QuarantineSpread::gather(const std::vector<SuspectedRequest> &refused, TimePoint now)
 {
-    const bool waits = !gathered_.empty();
-    std::copy_if(refused.begin(), refused.end(), std::back_inserter(gathered_),
-                 [this](const SuspectedRequest &item) { return item.age <= settings_.newsAge; });
-    if (waits || gathered_.empty()) {
+    const bool isScheduled = !pending_.empty();
+    std::copy_if(refused.begin(), refused.end(), std::back_inserter(pending_),
+                 [this](const SuspectedRequest &item) { return item.age <= settings_.maxGossipAge; });
+    if (isScheduled || pending_.empty()) {
         return std::nullopt;
     }
-    return std::max<TimePoint>(now, lastPassedOn_ + settings_.pause);
+    return std::max<TimePoint>(now, lastRound_ + settings_.minRoundInterval);
 }
 
 std::vector<SuspectedRequest> QuarantineSpread::takeGathered(TimePoint now)
 {
-    lastPassedOn_ = now;
-    return std::exchange(gathered_, {});
+    lastRound_ = now;
+    return std::exchange(pending_, {});
 }
 
 std::vector<SuspectedRequest> QuarantineSpread::inOneMessage(std::vector<SuspectedRequest> requests)
 {
-    if (requests.size() <= settings_.mostInMessage) {
+    if (requests.size() <= settings_.maxPerMessage) {
         return requests;
     }
-    const auto latest = static_cast<std::ptrdiff_t>(settings_.mostInMessage / 2);
-    std::shuffle(requests.begin() + latest, requests.end(), random_);
-    requests.resize(settings_.mostInMessage);
+    const auto latestCount = static_cast<std::ptrdiff_t>(settings_.maxPerMessage / 2);
+    std::shuffle(requests.begin() + latestCount, requests.end(), random_);
+    requests.resize(settings_.maxPerMessage);
     return requests;
 }
 
--- a/src/quarantine/quarantinespread.h
+++ b/src/quarantine/quarantinespread.h
@@ -15,46 +15,52 @@
 /// Constants of QuarantineSpread.
 struct QuarantineSpreadSettings
 {
-    /// Nodes of each region that join the crashes of a service: one may be gone, and regions may be cut off each other.
-    std::size_t keepersPerRegion = 2;
-    /// Nodes that a node tells of requests that are refused. At six, all nodes but one of 400 hear it from somebody;
-    /// the rest learns it with the next answer.
-    std::size_t listeners = 6;
-    /// Between two rounds of messages: under a flood of such requests messages fill, and do not multiply.
-    Milliseconds pause{500};
-    Milliseconds newsAge{10'000};
-    /// In one message.
-    std::size_t mostInMessage = 64;
+    /// Nodes of each region that collect the crashes of a service. More than one, because one may be gone; some in each
+    /// region, because regions may be cut off from each other.
+    std::size_t collectorsPerRegion = 2;
+    /// Nodes to which a node passes on newly refused requests. With six, one node in 400 is told by no other node; it
+    /// learns of the requests with the next answer that it receives.
+    std::size_t fanout = 6;
+    /// Minimum time between two rounds of messages. When many requests become refused at once, messages get larger
+    /// instead of more numerous.
+    Milliseconds minRoundInterval{500};
+    /// Refused requests whose last crash is older are not passed on.
+    Milliseconds maxGossipAge{10'000};
+    /// Maximum number of requests in one message.
+    std::size_t maxPerMessage = 64;
 };
 
-/// Decides which nodes are told of suspected requests.
+/// Decides which nodes are told of suspected and refused requests.
 ///
-/// One crash is told to few: the same nodes for all crashes of a service, so that two crashes of one request meet
-/// there, at a price that does not grow with the fleet. A request that is refused is passed on by everybody who hears
-/// of it first. Thread safety: none; one owner. Errors: none.
+/// A crash is reported to a few collectors, which are the same nodes for all crashes of a service: two crashes of one
+/// request meet there, and the cost does not grow with the fleet. A refused request is gossiped: each node passes it on
+/// when it first learns of it. Thread safety: none; one owner. Errors: none.
 class QuarantineSpread
 {
 public:
     explicit QuarantineSpread(Random random, const QuarantineSpreadSettings &settings = {});
 
-    /// Who joins the crashes of @p service; this node, at @p own, may be among them.
+    /// The nodes that collect the crashes of @p service. This node may be among them.
     [[nodiscard]] std::vector<Endpoint> keepers(const InstanceDirectory &directory, const ServiceName &service) const;
-    /// Whom this node, at @p own, passes news on to.
+    /// The nodes to which this node, whose address is @p own, passes on refused requests in one round. Chosen at
+    /// random.
     [[nodiscard]] std::vector<Endpoint> listeners(const InstanceDirectory &directory, const Endpoint &own);
-    /// Takes what is to be passed on. Returns when it is due; nothing if that was told before, or nothing is news: what
-    /// is older has gone through the fleet, and a node that has just started need not pass it on again.
+    /// Adds newly refused requests to the next round. Returns when the round is due, or nothing if an earlier call has
+    /// returned that already or nothing is to be passed on. Requests above the maximum age are left out: they have gone
+    /// through the fleet, and a node that has just started need not pass them on again.
     [[nodiscard]] std::optional<TimePoint> gather(const std::vector<SuspectedRequest> &refused, TimePoint now);
-    /// What is to be passed on now. Precondition: it is due.
+    /// Starts the round and returns the requests to pass on in it. Precondition: the round is due.
     [[nodiscard]] std::vector<SuspectedRequest> takeGathered(TimePoint now);
-    /// As many of @p requests as one message takes: the latest crashes, and chance for the rest, so that each of them
-    /// comes through in some message. Precondition: the latest stand first.
+    /// Returns as many of @p requests as fit into one message. Half of the message is for the requests with the latest
+    /// crashes. The other half is drawn at random from the rest, so that each request is in some message sooner or
+    /// later. Precondition: @p requests starts with the latest crash.
     [[nodiscard]] std::vector<SuspectedRequest> inOneMessage(std::vector<SuspectedRequest> requests);
 
 private:
     Random random_;
     QuarantineSpreadSettings settings_;
-    std::vector<SuspectedRequest> gathered_;
-    TimePoint lastPassedOn_;
+    std::vector<SuspectedRequest> pending_;
+    TimePoint lastRound_;
 };
 
 }
--- a/src/quarantine/recentanswers.h
+++ b/src/quarantine/recentanswers.h
@@ -9,16 +9,18 @@
 namespace Egretpath
 {
 
-/// Which requests the upstream has answered lately.
+/// Remembers which requests the upstream has answered recently.
 ///
-/// Guards against accusing what many callers ask for: such a request is under way at many upstreams at any moment, also
-/// at those that end for another reason; it has been answered a moment before, and one that ends upstreams has not.
-/// What the upstream's predecessor answered counts too: else all that is popular would be accused of a crash soon after
-/// a start. Thread safety: none. Errors: none; answers are forgotten sooner when there are many.
+/// Guards against suspecting popular requests. A popular request is under way at many upstreams at any moment, also at
+/// upstreams that crash for another reason. It differs from a request that crashes upstreams in that it has been
+/// answered a moment before. Answers of the upstream's predecessor count too; otherwise all popular requests would be
+/// suspected of a crash soon after a start. Thread safety: none. Errors: none; answers are forgotten sooner when there
+/// are many.
 class RecentAnswers
 {
 public:
-    /// @p seed is this process's own: nobody can make up a request that passes for an answered one.
+    /// @p seed is random and private to this process, so that nobody can construct a request that collides with an
+    /// answered one.
     explicit RecentAnswers(std::uint64_t seed)
         : seed_(seed)
     {
@@ -30,15 +32,15 @@
 private:
     struct Answer
     {
-        std::uint64_t name = 0;
-        TimePoint at;
+        std::uint64_t hash = 0;
+        TimePoint answeredAt;
     };
-    static constexpr std::size_t Places = 1024;
+    static constexpr std::size_t SlotCount = 1024;
 
-    [[nodiscard]] std::uint64_t nameOf(const RequestContent &request) const;
+    [[nodiscard]] std::uint64_t hashOf(const RequestContent &request) const;
 
     std::uint64_t seed_;
-    std::array<Answer, Places> answers_{};
+    std::array<Answer, SlotCount> answers_{};
 };
 
 }
--- a/src/quarantine/requestfingerprint.cpp
+++ b/src/quarantine/requestfingerprint.cpp
@@ -14,8 +14,8 @@
 
 constexpr std::size_t FingerprintBytes = 16;
 
-/// With its length, so that no part of one field can pass for a part of the next.
-void add(crypto_generichash_state &state, std::string_view field)
+/// Hashes @p field with its length in front, so that bytes moved from one field to the next change the hash.
+void addField(crypto_generichash_state &state, std::string_view field)
 {
     const std::uint64_t length = field.size();
     crypto_generichash_update(&state, reinterpret_cast<const unsigned char *>(&length), sizeof length);
@@ -28,10 +28,10 @@
 {
     crypto_generichash_state state;
     crypto_generichash_init(&state, nullptr, 0, FingerprintBytes);
-    add(state, content.method);
-    add(state, content.host);
-    add(state, content.target);
-    add(state, content.body);
+    addField(state, content.method);
+    addField(state, content.host);
+    addField(state, content.target);
+    addField(state, content.body);
     std::array<unsigned char, FingerprintBytes> bytes{};
     crypto_generichash_final(&state, bytes.data(), bytes.size());
     RequestFingerprint fingerprint;
--- a/src/quarantine/requestfingerprint.h
+++ b/src/quarantine/requestfingerprint.h
@@ -11,8 +11,8 @@
 namespace Egretpath
 {
 
-/// What makes two attempts the same request. Ids, deadlines and other header fields differ between attempts; the VM at
-/// which an attempt comes does too.
+/// The parts of a request that make two attempts the same request. Ids, deadlines and other header fields differ
+/// between attempts, and so does the VM that an attempt comes from.
 struct RequestContent
 {
     std::string_view method;
@@ -22,9 +22,9 @@
     std::string_view body;
 };
 
-/// A name of a request that all its attempts share, at any node.
+/// Identifies a request by its content; all attempts have the same fingerprint at any node.
 ///
-/// 128 bits of BLAKE2b: nobody can make up a request that bears the name of another one.
+/// 128 bits of BLAKE2b, so that nobody can construct a request with the fingerprint of another one.
 struct RequestFingerprint
 {
     Digest digest;
@@ -32,10 +32,10 @@
     friend constexpr auto operator<=>(const RequestFingerprint &, const RequestFingerprint &) = default;
 };
 
-/// Takes about a microsecond, and one more for each kilobyte of the body. Thread safety: safe. Errors: none.
+/// Takes about one microsecond, and one more for each kilobyte of the body. Thread safety: safe. Errors: none.
 [[nodiscard]] RequestFingerprint fingerprintOf(const RequestContent &content);
 
-/// 32 lower-case hexadecimal digits, for logs. Thread safety: safe.
+/// Returns 32 lower-case hexadecimal digits, for logs. Thread safety: safe.
 [[nodiscard]] std::string toHex(const RequestFingerprint &fingerprint);
 
 }
--- a/src/quarantine/requestname.h
+++ b/src/quarantine/requestname.h
@@ -7,11 +7,11 @@
 namespace Egretpath
 {
 
-/// The fingerprint of one request, made when it is first needed: most requests never need it. Thread safety: none.
+/// Computes the fingerprint of one request on first use and keeps it; most requests never need it. Thread safety: none.
 class RequestName
 {
 public:
-    /// Precondition: @p content is that of the same request each time.
+    /// Precondition: each call passes the content of the same request.
     [[nodiscard]] const RequestFingerprint &of(const RequestContent &content)
     {
         if (!fingerprint_) {
@@ -20,7 +20,7 @@
         return *fingerprint_;
     }
 
-    /// See Quarantine::rejection(). Costs nothing while no request is refused.
+    /// See Quarantine::rejection(). Computes no fingerprint while no request is refused.
     [[nodiscard]] std::optional<Failure> rejection(const Quarantine &quarantine, const RequestContent &content,
                                                    TimePoint now)
     {
--- a/src/quarantine/suspectedrequest.h
+++ b/src/quarantine/suspectedrequest.h
@@ -11,21 +11,23 @@
 namespace Egretpath
 {
 
-/// A request and the crashes of upstreams that held it, as nodes tell each other.
+/// A request and the crashes of upstreams at which it was under way, as nodes report them to each other.
 struct SuspectedRequest
 {
     RequestFingerprint fingerprint;
     std::vector<UpstreamCrash> crashes;
-    /// Since the last of them.
+    /// Time since the last of the crashes.
     Milliseconds age{0};
 };
 
-/// Names the set of requests that a node refuses; two nodes with the same mark refuse the same ones. Zero: none.
+/// Digest of the set of requests that a node refuses. Two nodes with the same digest refuse the same requests; zero
+/// stands for the empty set.
 using QuarantineDigest = StrongType<struct QuarantineDigestTag, std::uint64_t>;
 
-/// What one node tells another of such requests.
+/// What one node reports to another of suspected and refused requests.
 struct QuarantineUpdate
 {
+    /// Of all requests that the sender refuses.
     QuarantineDigest digest;
     std::vector<SuspectedRequest> requests;
 };
--- a/src/quarantine/upstreamcrash.h
+++ b/src/quarantine/upstreamcrash.h
@@ -8,14 +8,15 @@
 namespace Egretpath
 {
 
-/// Names one crash of an upstream; drawn at random by the node beside it, which alone sees it.
+/// Identifies one crash of an upstream. Drawn at random by the node beside the upstream, the only one that sees the
+/// crash.
 using UpstreamCrashId = StrongType<struct UpstreamCrashIdTag, std::uint64_t>;
 
 /// One crash of an upstream, as evidence against the requests that it held.
 struct UpstreamCrash
 {
     UpstreamCrashId id;
-    /// The upstream has ended again and again with no request to blame, so that one more end tells little.
+    /// The upstream has exited repeatedly with no refused request under way, so that another exit is weak evidence.
     bool upstreamFlaps = false;
 
     friend auto operator<=>(const UpstreamCrash &, const UpstreamCrash &) = default;
--- a/src/quarantine/upstreamexits.h
+++ b/src/quarantine/upstreamexits.h
@@ -9,28 +9,30 @@
 namespace Egretpath
 {
 
-/// Tells an upstream that goes down and up by itself from one that a request ends.
+/// Distinguishes an upstream that goes down and up by itself from an upstream that a request crashes.
 ///
-/// The load that it answers: upstreams that flap, each time with other requests under way. Those that their callers
-/// send again elsewhere may meet another end, and would be refused though they are proper. Thread safety: none; one
-/// owner. Errors: none.
+/// Load pattern: upstreams flap, each time with other requests under way. A harmless request that its caller then sends
+/// to another upstream may be under way at a second exit, and would be refused. Thread safety: none; one owner. Errors:
+/// none.
 class UpstreamExits
 {
 public:
-    /// Whether @p crash tells little: of the ends before it, lately, several had no request that is refused since.
+    /// Whether @p crash is weak evidence, because several recent exits before it had no request under way that is
+    /// refused by now.
     [[nodiscard]] bool flaps(UpstreamCrashId crash, const Quarantine &quarantine, TimePoint now) const;
-    /// It has ended with @p held under way; more of them may be told later.
+    /// Records that the upstream has exited with the requests @p held under way. May be called again for the same crash
+    /// to add further requests.
     void record(UpstreamCrashId crash, const std::vector<RequestFingerprint> &held, TimePoint now);
 
 private:
-    struct End
+    struct Exit
     {
         UpstreamCrashId crash;
         TimePoint at;
         std::vector<RequestFingerprint> held;
     };
 
-    std::deque<End> exits_;
+    std::deque<Exit> exits_;
 };
 
 }
--- a/tests/quarantine/quarantinefleet.cpp
+++ b/tests/quarantine/quarantinefleet.cpp
@@ -9,8 +9,9 @@
 namespace
 {
 
-/// Of a message without requests, with the headers of all layers; and of each request in it.
+/// Size of a message without requests, with the headers of all layers.
 constexpr std::uint64_t MessageBytes = 180;
+/// Size of each request in a message.
 constexpr std::uint64_t RequestBytes = 48;
 
 Endpoint addressOf(std::size_t node)
@@ -18,7 +19,7 @@
     return Endpoint("10.0.0.1:" + std::to_string(node + 1));
 }
 
-std::size_t nodeAt(const Endpoint &address)
+std::size_t nodeNumber(const Endpoint &address)
 {
     return std::stoul(address.value().substr(address.value().rfind(':') + 1)) - 1;
 }
@@ -30,7 +31,7 @@
     for (std::size_t number = 0; number < shape.nodes; ++number) {
         InstanceRecord record;
         record.id = UpstreamName("i-" + std::to_string(number));
-        record.service = ServiceName(number < shape.inService ? "crashing" : "other");
+        record.service = ServiceName(number < shape.serviceNodes ? "crashing" : "other");
         record.location.region = RegionName(std::to_string(number % shape.regions));
         record.address = Endpoint("10.0.1.1:" + std::to_string(number + 1));
         record.node = addressOf(number);
@@ -53,20 +54,20 @@
     for (std::size_t number = 0; number < shape.nodes; ++number) {
         nodes_.push_back({Quarantine(), QuarantineSpread(Random(random_())), UpstreamExits(), number % shape.regions,
                           addressOf(number)});
-        after(Milliseconds(random_() % shape.callPause.count()), [this, number] { call(number); });
+        after(Milliseconds(random_() % shape.callInterval.count()), [this, number] { call(number); });
     }
 }
 
-/// Calls any node; if it refuses other requests, they exchange what they know.
+/// Calls a random node. If the two nodes refuse different requests, they exchange all that they refuse.
 void QuarantineFleet::call(std::size_t from)
 {
     const std::size_t to = random_() % nodes_.size();
     const bool differ = nodes_[from].quarantine.digest() != nodes_[to].quarantine.digest();
-    if (differ && hears(from, to)) {
-        tell(from, nodes_[to].address, nodes_[from].quarantine.refused(now()));
-        tell(to, nodes_[from].address, nodes_[to].quarantine.refused(now()));
+    if (differ && isReachable(from, to)) {
+        send(from, nodes_[to].address, nodes_[from].quarantine.refused(now()));
+        send(to, nodes_[from].address, nodes_[to].quarantine.refused(now()));
     }
-    after(shape_.callPause, [this, from] { call(from); });
+    after(shape_.callInterval, [this, from] { call(from); });
 }
 
 void QuarantineFleet::after(Milliseconds delay, std::function<void()> action)
@@ -82,35 +83,35 @@
     const CrashResult result = nodes_[node].quarantine.crashed(crash, held, now());
     for (const Endpoint &keeper : nodes_[node].spread.keepers(directory_, ServiceName("crashing"))) {
         if (keeper != nodes_[node].address) {
-            tell(node, keeper, result.known);
+            send(node, keeper, result.known);
         }
     }
-    passOn(node, result.refused);
+    gossip(node, result.refused);
 }
 
-void QuarantineFleet::tell(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests)
+void QuarantineFleet::send(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests)
 {
-    const std::size_t target = nodeAt(to);
+    const std::size_t target = nodeNumber(to);
     ++messages_;
     bytes_ += MessageBytes + RequestBytes * requests.size();
-    if (!hears(from, target) || std::bernoulli_distribution(shape_.lost)(random_)) {
+    if (!isReachable(from, target) || std::bernoulli_distribution(shape_.lossRate)(random_)) {
         return;
     }
-    after(shape_.way, [this, from, target, requests] {
-        take(target, requests);
-        const auto more = nodes_[target].quarantine.moreThan(requests, now());
-        if (!more.empty()) {
-            after(shape_.way, [this, from, more] { take(from, more); });
+    after(shape_.latency, [this, from, target, requests] {
+        receive(target, requests);
+        const auto missing = nodes_[target].quarantine.moreThan(requests, now());
+        if (!missing.empty()) {
+            after(shape_.latency, [this, from, missing] { receive(from, missing); });
         }
     });
 }
 
-void QuarantineFleet::take(std::size_t node, const std::vector<SuspectedRequest> &requests)
+void QuarantineFleet::receive(std::size_t node, const std::vector<SuspectedRequest> &requests)
 {
-    passOn(node, nodes_[node].quarantine.take(requests, now()));
+    gossip(node, nodes_[node].quarantine.take(requests, now()));
 }
 
-void QuarantineFleet::passOn(std::size_t node, const std::vector<SuspectedRequest> &refused)
+void QuarantineFleet::gossip(std::size_t node, const std::vector<SuspectedRequest> &refused)
 {
     const auto due = nodes_[node].spread.gather(refused, now());
     if (!due) {
@@ -119,7 +120,7 @@
     after(std::chrono::ceil<Milliseconds>(*due - now()), [this, node] {
         const std::vector<SuspectedRequest> gathered = nodes_[node].spread.takeGathered(now());
         for (const Endpoint &listener : nodes_[node].spread.listeners(directory_, nodes_[node].address)) {
-            tell(node, listener, gathered);
+            send(node, listener, gathered);
         }
     });
 }
@@ -129,7 +130,7 @@
     return nodes_[node].quarantine.rejection(request, now()).has_value();
 }
 
-std::size_t QuarantineFleet::refusing(const RequestFingerprint &request) const
+std::size_t QuarantineFleet::refusingCount(const RequestFingerprint &request) const
 {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
@@ -138,12 +139,12 @@
     return count;
 }
 
-void QuarantineFleet::cutRegion(std::size_t region, bool cut)
+void QuarantineFleet::setRegionCut(std::size_t region, bool isCut)
 {
-    cutRegions_[region] = cut;
+    cutRegions_[region] = isCut;
 }
 
-bool QuarantineFleet::hears(std::size_t from, std::size_t to) const
+bool QuarantineFleet::isReachable(std::size_t from, std::size_t to) const
 {
     const std::size_t sender = nodes_[from].region;
     const std::size_t receiver = nodes_[to].region;
--- a/tests/quarantine/quarantinefleet.h
+++ b/tests/quarantine/quarantinefleet.h
@@ -14,40 +14,41 @@
 namespace Egretpath
 {
 
+/// Size, network and load of a QuarantineFleet.
 struct FleetShape
 {
     std::size_t nodes = 18;
     std::size_t regions = 3;
-    /// The upstreams beside the first ones are of the service that requests end.
-    std::size_t inService = 6;
-    /// From one node to another.
-    Milliseconds way{10};
-    /// Of the messages.
-    double lost = 0.0;
-    /// Between two calls that a node makes to others; each answer carries a mark.
-    Milliseconds callPause{300};
+    /// The upstreams beside this many nodes, the first ones, belong to the service that requests crash.
+    std::size_t serviceNodes = 6;
+    /// Time that a message takes from one node to another.
+    Milliseconds latency{10};
+    /// Share of the messages that are lost.
+    double lossRate = 0.0;
+    /// Time between two calls of a node to other nodes; each answer carries a digest.
+    Milliseconds callInterval{300};
     std::uint64_t seed = 1;
 };
 
-/// Nodes of a made-up fleet that tell each other of crashes as QuarantineController does, on a clock of their own.
+/// Simulates a fleet whose nodes report crashes to each other as QuarantineController does, on a virtual clock.
 class QuarantineFleet
 {
 public:
     explicit QuarantineFleet(const FleetShape &shape);
 
-    /// Runs what is due until @p end.
+    /// Runs everything that is due until @p end.
     void runUntil(TimePoint end) { time_.runUntil(end); }
     [[nodiscard]] TimePoint now() const { return time_.now(); }
     /// Calls @p action after @p delay.
     void after(Milliseconds delay, std::function<void()> action);
 
-    /// The upstream beside @p node ends with these under way.
+    /// Crashes the upstream beside @p node with the requests @p held under way.
     void crash(std::size_t node, const std::vector<RequestFingerprint> &held);
     [[nodiscard]] bool refuses(std::size_t node, const RequestFingerprint &request) const;
-    /// Nodes that refuse @p request.
-    [[nodiscard]] std::size_t refusing(const RequestFingerprint &request) const;
-    /// From now on the region numbered @p region and the others don't hear each other; or they do again.
-    void cutRegion(std::size_t region, bool cut);
+    /// Number of nodes that refuse @p request.
+    [[nodiscard]] std::size_t refusingCount(const RequestFingerprint &request) const;
+    /// Cuts the region numbered @p region off from all other regions, or connects it again.
+    void setRegionCut(std::size_t region, bool isCut);
     [[nodiscard]] std::uint64_t messages() const { return messages_; }
     [[nodiscard]] std::uint64_t bytes() const { return bytes_; }
     [[nodiscard]] Random &random() { return random_; }
@@ -63,10 +64,10 @@
     };
 
     void call(std::size_t from);
-    void tell(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests);
-    void take(std::size_t node, const std::vector<SuspectedRequest> &requests);
-    void passOn(std::size_t node, const std::vector<SuspectedRequest> &refused);
-    [[nodiscard]] bool hears(std::size_t from, std::size_t to) const;
+    void send(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests);
+    void receive(std::size_t node, const std::vector<SuspectedRequest> &requests);
+    void gossip(std::size_t node, const std::vector<SuspectedRequest> &refused);
+    [[nodiscard]] bool isReachable(std::size_t from, std::size_t to) const;
 
     FleetShape shape_;
     Random random_;
--- a/tests/quarantine/quarantinespreadtest.cpp
+++ b/tests/quarantine/quarantinespreadtest.cpp
@@ -24,12 +24,12 @@
     return record;
 }
 
-InstanceDirectory fleet(int size, int regions, int without = -1)
+InstanceDirectory fleet(int size, int regions, int removed = -1)
 {
     InstanceSnapshot snapshot;
     snapshot.revision = StoreRevision(1);
     for (int number = 0; number < size; ++number) {
-        if (number != without) {
+        if (number != removed) {
             snapshot.records.push_back(record(number, regions));
         }
     }
@@ -40,7 +40,7 @@
 
 }
 
-TEST_CASE("the same few nodes of each region join the crashes of a service, however large the fleet")
+TEST_CASE("all nodes choose the same few nodes of each region to collect the crashes of a service")
 {
     const QuarantineSpread spread{Random(1)};
     const InstanceDirectory directory = fleet(300, 3);
@@ -55,31 +55,32 @@
     CHECK(regions.size() == 3);
 }
 
-// Guards against two crashes of one request that never meet, since the list changes between them.
-TEST_CASE("a node that leaves the list takes at most its own place among those that join crashes")
+// Guards against two crashes of one request that are reported to different nodes, because the list of instances changes
+// between them.
+TEST_CASE("at most one collector changes when a node leaves the list")
 {
     const QuarantineSpread spread{Random(1)};
     const std::vector<Endpoint> before = spread.keepers(fleet(18, 3), Statements);
-    for (int gone = 0; gone < 18; ++gone) {
-        const std::vector<Endpoint> after = spread.keepers(fleet(18, 3, gone), Statements);
-        const std::set<Endpoint> left(after.begin(), after.end());
+    for (int removed = 0; removed < 18; ++removed) {
+        const std::vector<Endpoint> after = spread.keepers(fleet(18, 3, removed), Statements);
+        const std::set<Endpoint> remaining(after.begin(), after.end());
         const auto kept =
-            std::count_if(before.begin(), before.end(), [&](const Endpoint &node) { return left.contains(node); });
+            std::count_if(before.begin(), before.end(), [&](const Endpoint &node) { return remaining.contains(node); });
         CHECK(kept >= 5);
     }
 }
 
-// Guards against a request that goes on ending upstreams beside nodes that nobody told.
-TEST_CASE("what each node passes on reaches nearly all of a large fleet in a few steps")
+// Guards against a request that continues to crash upstreams beside nodes that have not learned that it is refused.
+TEST_CASE("gossip reaches nearly all nodes of a large fleet in five steps")
 {
     constexpr int Size = 1000;
     constexpr int Steps = 5;
     const InstanceDirectory directory = fleet(Size, 5);
     std::set<Endpoint> informed{record(0, 5).node};
-    std::set<Endpoint> news = informed;
+    std::set<Endpoint> newlyInformed = informed;
     for (int step = 0; step < Steps; ++step) {
         std::set<Endpoint> next;
-        for (const Endpoint &node : news) {
+        for (const Endpoint &node : newlyInformed) {
             QuarantineSpread spread{Random(std::hash<Endpoint>{}(node))};
             for (const Endpoint &listener : spread.listeners(directory, node)) {
                 if (informed.insert(listener).second) {
@@ -87,12 +88,12 @@
                 }
             }
         }
-        news = next;
+        newlyInformed = next;
     }
     CHECK(informed.size() > Size * 98 / 100);
 }
 
-TEST_CASE("a message takes the latest and, by and by, all others")
+TEST_CASE("each message holds the latest request, and every other one is in some message")
 {
     QuarantineSpread spread{Random(1)};
     std::vector<SuspectedRequest> all;
--- a/tests/quarantine/quarantinetest.cpp
+++ b/tests/quarantine/quarantinetest.cpp
@@ -18,14 +18,14 @@
     return fingerprintOf({"GET", "h", "/" + std::to_string(number), ""});
 }
 
-SuspectedRequest told(int number, std::uint64_t crash, Milliseconds age = Milliseconds(0))
+SuspectedRequest reported(int number, std::uint64_t crash, Milliseconds age = Milliseconds(0))
 {
     return {request(number), {{UpstreamCrashId(crash)}}, age};
 }
 
 }
 
-TEST_CASE("one crash accuses nobody, the second one with the same request under way does")
+TEST_CASE("a request is refused after the second crash with it under way, not after the first")
 {
     Quarantine quarantine;
     CHECK(quarantine.crashed({UpstreamCrashId(1)}, {request(1), request(2)}, Start).refused.empty());
@@ -43,24 +43,24 @@
     CHECK_FALSE(quarantine.rejection(request(3), Start));
 }
 
-// Guards against a request that is accused of a single crash since two nodes tell of it.
-TEST_CASE("the same crash counts once, however often and by whomever it is told")
+// Guards against a request that is refused after a single crash, because two nodes report that crash.
+TEST_CASE("the same crash counts once, however often and by whichever node it is reported")
 {
     Quarantine quarantine;
     (void)quarantine.crashed({UpstreamCrashId(1)}, {request(1)}, Start);
     (void)quarantine.crashed({UpstreamCrashId(1)}, {request(1)}, Start);
-    CHECK(quarantine.take({told(1, 1), told(1, 1)}, Start).empty());
-    CHECK(quarantine.take({told(1, 2)}, Start).size() == 1);
-    CHECK(quarantine.take({told(1, 2), told(1, 3)}, Start).empty());
+    CHECK(quarantine.take({reported(1, 1), reported(1, 1)}, Start).empty());
+    CHECK(quarantine.take({reported(1, 2)}, Start).size() == 1);
+    CHECK(quarantine.take({reported(1, 2), reported(1, 3)}, Start).empty());
 }
 
-TEST_CASE("nodes that refuse the same requests have the same mark, in whichever order they learned of them")
+TEST_CASE("nodes that refuse the same requests have the same digest, in whichever order they learned of them")
 {
     Quarantine one;
     Quarantine other;
     CHECK(one.digest() == QuarantineDigest());
-    (void)one.take({told(1, 1), told(1, 2), told(2, 1), told(2, 3)}, Start);
-    (void)other.take({told(2, 3), told(3, 9), told(1, 2), told(2, 1), told(1, 1)}, Start);
+    (void)one.take({reported(1, 1), reported(1, 2), reported(2, 1), reported(2, 3)}, Start);
+    (void)other.take({reported(2, 3), reported(3, 9), reported(1, 2), reported(2, 1), reported(1, 1)}, Start);
     CHECK(one.digest() == other.digest());
     CHECK(one.digest() != QuarantineDigest());
     one.expire(Start + std::chrono::hours(25));
@@ -68,36 +68,37 @@
     CHECK(one.refusesNone());
 }
 
-TEST_CASE("a node that knows less is told what is known more")
+TEST_CASE("a node that reports fewer crashes of a request than are known receives the known ones")
 {
     Quarantine quarantine;
-    (void)quarantine.take({told(1, 1), told(1, 2), told(2, 1)}, Start);
-    const auto more = quarantine.moreThan({told(1, 2), told(2, 1), told(3, 1)}, Start + Milliseconds(5));
-    REQUIRE(more.size() == 1);
-    CHECK(more[0].fingerprint == request(1));
-    CHECK(more[0].age == Milliseconds(5));
+    (void)quarantine.take({reported(1, 1), reported(1, 2), reported(2, 1)}, Start);
+    const auto missing = quarantine.moreThan({reported(1, 2), reported(2, 1), reported(3, 1)}, Start + Milliseconds(5));
+    REQUIRE(missing.size() == 1);
+    CHECK(missing[0].fingerprint == request(1));
+    CHECK(missing[0].age == Milliseconds(5));
 }
 
-// Guards against names that are never forgotten, since each node hears of them again from one that forgot them later.
-TEST_CASE("what has run out at its sender does not begin anew")
+// Guards against requests that are never forgotten, because each node learns of them again from a node that forgets
+// them later.
+TEST_CASE("a refusal that has expired at its sender is not added")
 {
     Quarantine quarantine;
-    (void)quarantine.take({told(1, 1, std::chrono::hours(24)), told(1, 2, std::chrono::hours(24))}, Start);
+    (void)quarantine.take({reported(1, 1, std::chrono::hours(24)), reported(1, 2, std::chrono::hours(24))}, Start);
     CHECK(quarantine.refusesNone());
-    (void)quarantine.take({told(1, 1, std::chrono::hours(23)), told(1, 2, std::chrono::hours(23))}, Start);
+    (void)quarantine.take({reported(1, 1, std::chrono::hours(23)), reported(1, 2, std::chrono::hours(23))}, Start);
     CHECK(quarantine.rejection(request(1), Start)->retryAfter == std::chrono::hours(1));
 }
 
-// Guards against memory without a bound: someone sends thousands of requests that end upstreams.
-TEST_CASE("there are never more names than may be, and the oldest are forgotten first")
+// Guards against unbounded memory when somebody sends thousands of requests that crash upstreams.
+TEST_CASE("refused and suspected requests stay within their limits, and the oldest are forgotten first")
 {
     QuarantineSettings settings;
-    settings.mostSuspected = 8;
-    settings.mostRefused = 4;
+    settings.maxSuspected = 8;
+    settings.maxRefused = 4;
     Quarantine quarantine(settings);
     for (int number = 0; number < 100; ++number) {
         const TimePoint now = Start + Milliseconds(number);
-        (void)quarantine.take({told(number, 1), told(number, 2), told(1000 + number, 1)}, now);
+        (void)quarantine.take({reported(number, 1), reported(number, 2), reported(1000 + number, 1)}, now);
         CHECK(quarantine.refusedCount() <= 4);
         CHECK(quarantine.suspectedCount() <= 8);
     }
@@ -106,21 +107,21 @@
     CHECK_FALSE(quarantine.rejection(request(95), Start));
 }
 
-TEST_CASE("operators may have a request run that is refused, and it is not accused again")
+TEST_CASE("a request that operators allow is neither refused nor suspected again")
 {
     Quarantine quarantine;
-    (void)quarantine.take({told(1, 1), told(1, 2), told(2, 1), told(2, 2)}, Start);
+    (void)quarantine.take({reported(1, 1), reported(1, 2), reported(2, 1), reported(2, 2)}, Start);
     quarantine.setAllowed({request(1)});
     CHECK_FALSE(quarantine.rejection(request(1), Start));
     CHECK(quarantine.rejection(request(2), Start));
-    CHECK(quarantine.take({told(1, 1), told(1, 2)}, Start).empty());
+    CHECK(quarantine.take({reported(1, 1), reported(1, 2)}, Start).empty());
     CHECK(quarantine.crashed({UpstreamCrashId(3)}, {request(1)}, Start).known.empty());
     quarantine.setAllowed({});
-    CHECK(quarantine.take({told(1, 1), told(1, 2)}, Start).size() == 1);
+    CHECK(quarantine.take({reported(1, 1), reported(1, 2)}, Start).size() == 1);
 }
 
-// Guards against proper requests that are refused since they were sent from one flapping upstream to the next.
-TEST_CASE("ends of upstreams that flap count half")
+// Guards against harmless requests that are refused because they were retried from one flapping upstream to the next.
+TEST_CASE("crashes of upstreams that flap count half")
 {
     Quarantine quarantine;
     for (std::uint64_t crash = 1; crash <= 3; ++crash) {
@@ -132,21 +133,21 @@
     CHECK(quarantine.crashed({UpstreamCrashId(7), true}, {request(2)}, Start).refused.size() == 1);
 }
 
-TEST_CASE("an upstream flaps once two of its ends lately have no request to blame")
+TEST_CASE("an upstream flaps once two of its recent exits had no refused request under way")
 {
     Quarantine quarantine;
     UpstreamExits exits;
-    const auto endsWith = [&](std::uint64_t crash, int held) {
-        const bool flaps = exits.flaps(UpstreamCrashId(crash), quarantine, Start);
+    const auto isFlappingAtExit = [&](std::uint64_t crash, int held) {
+        const bool isFlapping = exits.flaps(UpstreamCrashId(crash), quarantine, Start);
         exits.record(UpstreamCrashId(crash), {request(held)}, Start);
-        return flaps;
+        return isFlapping;
     };
-    CHECK_FALSE(endsWith(1, 1));
-    CHECK_FALSE(endsWith(2, 2));
-    // Told in two parts, it is one end.
+    CHECK_FALSE(isFlappingAtExit(1, 1));
+    CHECK_FALSE(isFlappingAtExit(2, 2));
+    // Two records of one crash are one exit.
     CHECK_FALSE(exits.flaps(UpstreamCrashId(2), quarantine, Start));
-    CHECK(endsWith(3, 3));
-    (void)quarantine.take({told(1, 1), told(1, 9), told(2, 2), told(2, 9)}, Start);
-    CHECK_FALSE(endsWith(4, 4));
+    CHECK(isFlappingAtExit(3, 3));
+    (void)quarantine.take({reported(1, 1), reported(1, 9), reported(2, 2), reported(2, 9)}, Start);
+    CHECK_FALSE(isFlappingAtExit(4, 4));
     CHECK_FALSE(exits.flaps(UpstreamCrashId(5), quarantine, Start + std::chrono::minutes(3)));
 }
--- a/tests/quarantine/recentanswerstest.cpp
+++ b/tests/quarantine/recentanswerstest.cpp
@@ -4,7 +4,7 @@
 
 using namespace Egretpath;
 
-TEST_CASE("answers are known for a while, by all that names a request")
+TEST_CASE("an answered request is known for 30 seconds, and one with another method or body is not")
 {
     const TimePoint start{std::chrono::hours(1)};
     RecentAnswers answers(7);
