--- a/src/idempotency/callstate.cpp
+++ b/src/idempotency/callstate.cpp
@@ -6,26 +6,26 @@
 namespace Egretpath
 {
 
-CallState::CallState(IngressCallId id, Repetition repetition, std::uint32_t triesCap, TimePoint deadline)
+CallState::CallState(IngressCallId id, Repetition repetition, std::uint32_t maxTries, TimePoint deadline)
     : id_(id)
     , repetition_(repetition)
-    , triesCap_(triesCap)
+    , maxTries_(maxTries)
     , deadline_(deadline)
 {
 }
 
 Result<TryId> CallState::startTry(const NodeIdentity &target, TimePoint now)
 {
-    if (ended()) {
+    if (hasEnded()) {
         return mayHaveRun(Reason::Cancelled, "the call has ended");
     }
     if (now >= deadline_) {
         return mayHaveRun(Reason::DeadlinePassed, "no time is left for a try");
     }
-    if (tries_.size() >= triesCap_) {
+    if (tries_.size() >= maxTries_) {
         return mayHaveRun(Reason::BudgetSpent, "no tries are left");
     }
-    if (earlierTriesForbid(target)) {
+    if (isForbiddenByEarlierTries(target)) {
         return mayHaveRun(Reason::KeyInUse, "an earlier try may run");
     }
     tries_.push_back(Try{target});
@@ -34,33 +34,33 @@
 
 bool CallState::permitSending(TryNumber number, TimePoint now)
 {
-    // The caller was told that the call did not run, or the process was paused past the deadline and its timer has not
-    // fired yet: sending now would make that verdict false.
-    if (ended() || now >= deadline_) {
+    // Either the caller was told that the call did not run, or the process was paused past the deadline and its timer
+    // has not fired yet. Sending now would make that verdict false.
+    if (hasEnded() || now >= deadline_) {
         return false;
     }
-    Try *item = find(number);
+    Try *item = findTry(number);
     if (item == nullptr || item->state != TryState::Prepared) {
         return false;
     }
-    item->state = TryState::Left;
-    item->left = true;
+    item->state = TryState::InFlight;
+    item->wasSent = true;
     return true;
 }
 
 NextStep CallState::tryFailed(TryNumber number, const Failure &failure)
 {
-    Try *item = find(number);
-    const bool open = item != nullptr && (item->state == TryState::Prepared || item->state == TryState::Left);
-    if (ended() || !open) {
+    Try *item = findTry(number);
+    const bool isOpen = item != nullptr && (item->state == TryState::Prepared || item->state == TryState::InFlight);
+    if (hasEnded() || !isOpen) {
         return NextStep::Ignore;
     }
-    const bool proved = item->state == TryState::Prepared || failure.verdict == Verdict::NotRun;
-    item->state = proved ? TryState::NotRun : TryState::MayHaveRun;
-    if (underWay()) {
+    const bool isProved = item->state == TryState::Prepared || failure.verdict == Verdict::NotRun;
+    item->state = isProved ? TryState::NotRun : TryState::MayHaveRun;
+    if (hasOpenTry()) {
         return NextStep::Wait;
     }
-    if (tries_.size() >= triesCap_ || (repetition_ == Repetition::Once && !proved)) {
+    if (tries_.size() >= maxTries_ || (repetition_ == Repetition::Once && !isProved)) {
         return NextStep::GiveUp;
     }
     return NextStep::MayTryAgain;
@@ -68,21 +68,21 @@
 
 bool CallState::answered(TryNumber number)
 {
-    const Try *item = find(number);
-    if (ended() || item == nullptr || item->state != TryState::Left) {
+    const Try *item = findTry(number);
+    if (hasEnded() || item == nullptr || item->state != TryState::InFlight) {
         return false;
     }
-    end_ = CallPhase::Answered;
+    finalPhase_ = CallPhase::Answered;
     return true;
 }
 
 std::optional<Failure> CallState::giveUp(Reason reason, Milliseconds retryAfter, std::string detail)
 {
-    if (ended()) {
+    if (hasEnded()) {
         return std::nullopt;
     }
-    end_ = CallPhase::GivenUp;
-    if (provedNotRun()) {
+    finalPhase_ = CallPhase::GivenUp;
+    if (isProvedNotRun()) {
         return notRun(reason, std::move(detail), retryAfter);
     }
     return mayHaveRun(reason, std::move(detail), retryAfter);
@@ -93,33 +93,33 @@
     if (!tries_.empty()) {
         return giveUp(failure.reason, failure.retryAfter, failure.detail);
     }
-    if (ended()) {
+    if (hasEnded()) {
         return std::nullopt;
     }
-    end_ = CallPhase::GivenUp;
+    finalPhase_ = CallPhase::GivenUp;
     return failure;
 }
 
 CallPhase CallState::phase() const
 {
-    if (ended()) {
-        return end_;
+    if (hasEnded()) {
+        return finalPhase_;
     }
-    return anyTryIn(TryState::Left) ? CallPhase::Sent : CallPhase::Deciding;
+    return hasTryIn(TryState::InFlight) ? CallPhase::Sent : CallPhase::Deciding;
 }
 
 std::vector<TryId> CallState::outstanding() const
 {
     std::vector<TryId> result;
     for (std::uint32_t index = 0; index < tries(); ++index) {
-        if (tries_[index].state == TryState::Left) {
+        if (tries_[index].state == TryState::InFlight) {
             result.push_back(TryId{id_, TryNumber(index + 1)});
         }
     }
     return result;
 }
 
-CallState::Try *CallState::find(TryNumber number)
+CallState::Try *CallState::findTry(TryNumber number)
 {
     if (number.value() == 0 || number.value() > tries()) {
         return nullptr;
@@ -127,40 +127,40 @@
     return &tries_[number.value() - 1];
 }
 
-bool CallState::anyTryIn(TryState state) const
+bool CallState::hasTryIn(TryState state) const
 {
     return std::any_of(tries_.begin(), tries_.end(), [state](const Try &item) { return item.state == state; });
 }
 
-bool CallState::underWay() const
+bool CallState::hasOpenTry() const
 {
-    return anyTryIn(TryState::Prepared) || anyTryIn(TryState::Left);
+    return hasTryIn(TryState::Prepared) || hasTryIn(TryState::InFlight);
 }
 
-bool CallState::earlierTriesForbid(const NodeIdentity &target) const
+bool CallState::isForbiddenByEarlierTries(const NodeIdentity &target) const
 {
     switch (repetition_) {
     case Repetition::Repeatable:
         return false;
     case Repetition::Once:
-        return underWay() || anyTryIn(TryState::MayHaveRun);
+        return hasOpenTry() || hasTryIn(TryState::MayHaveRun);
     case Repetition::OncePerKey:
-        // The owner keeps the tries of one key apart; another upstream would run it a second time.
-        return underWay() || (!tries_.empty() && tries_.front().target.upstream != target.upstream);
+        // The owner of the key recognizes a repeated try; another upstream would run the call a second time.
+        return hasOpenTry() || (!tries_.empty() && tries_.front().target.upstream != target.upstream);
     }
     return true;
 }
 
-bool CallState::provedNotRun() const
+bool CallState::isProvedNotRun() const
 {
-    if (anyTryIn(TryState::Left) || anyTryIn(TryState::MayHaveRun)) {
+    if (hasTryIn(TryState::InFlight) || hasTryIn(TryState::MayHaveRun)) {
         return false;
     }
     if (repetition_ != Repetition::OncePerKey) {
         return true;
     }
-    // An earlier call with this key may have run: only the owner's refusal proves that none did.
-    return std::any_of(tries_.begin(), tries_.end(), [](const Try &item) { return item.left; });
+    // An earlier call with this key may have run. Only a refusal by the owner of the key proves that none did.
+    return std::any_of(tries_.begin(), tries_.end(), [](const Try &item) { return item.wasSent; });
 }
 
 }
--- a/src/idempotency/callstate.h
+++ b/src/idempotency/callstate.h
@@ -13,21 +13,21 @@
 namespace Egretpath
 {
 
-/// What may be done with a call when its upstream may have run it.
+/// Whether a call may be sent again when its upstream may have run it.
 enum class Repetition : std::uint8_t {
-    /// Running it twice does no harm: tries may follow, and run beside, one another.
+    /// Running the call twice does no harm: tries may follow one another and may be under way at the same time.
     Repeatable,
-    /// It may run once. A further try is sent only after each earlier one is proved not run.
+    /// The call may run once. A further try is sent only after each earlier try is proved not run.
     Once,
-    /// It may run once for each key, over all calls that carry the key.
+    /// The call may run once for its key, counted over all calls that carry the key.
     OncePerKey,
 };
 
-/// Where a call stands.
+/// State of a call as a whole.
 enum class CallPhase : std::uint8_t {
-    /// No try is on its way.
+    /// No try is in flight.
     Deciding,
-    /// At least one try is on its way.
+    /// At least one try is in flight.
     Sent,
     /// The caller was given an answer.
     Answered,
@@ -35,63 +35,69 @@
     GivenUp,
 };
 
-/// What is left to do after a try failed.
+/// What the ingress does after a try failed.
 enum class NextStep : std::uint8_t {
-    /// The call ended before, or the try is not known: do nothing.
+    /// Do nothing: the call or the try has ended already, or the try is not known.
     Ignore,
-    /// Another try is on its way: wait for it.
+    /// Wait for another try that is under way.
     Wait,
-    /// Another try may be started, if deadline, cap and budget allow; else give up.
+    /// Start another try if the deadline, the maximum of tries and the retry budget allow it; else give up.
     MayTryAgain,
     /// Give up now.
     GiveUp,
 };
 
-/// The ingress's state of one call. It gives exactly one verdict, sends nothing after it, and says "not run" only if
-/// no try left or each that left is proved not run.
+/// The ingress's state of one call. It gives exactly one verdict and permits no sending afterwards. The verdict is "not
+/// run" only if no try was sent or each try that was sent is proved not run.
 ///
-/// The verdict and each permission to send come from the same object on the same strand: a process that was paused and
-/// wakes late finds the call ended, or its deadline passed, and sends nothing.
+/// The verdict and each permission to send come from the same object on the same strand. A process that was paused and
+/// continues late therefore finds that the call has ended or its deadline has passed, and sends nothing.
 /// Thread safety: none; one strand owns it.
 class CallState
 {
 public:
-    /// Precondition: @p triesCap is at least 1. It counts sendings, so it may be larger than 1 for calls that may run
-    /// once: those are sent again only after a proof that they did not run, or to the owner of their key.
-    CallState(IngressCallId id, Repetition repetition, std::uint32_t triesCap, TimePoint deadline);
+    /// Precondition: @p maxTries is at least 1. It limits how often the call is sent, so it may be larger than 1 for a
+    /// call that may run once: such a call is sent again only after a proof that it did not run, or to the owner of its
+    /// key.
+    CallState(IngressCallId id, Repetition repetition, std::uint32_t maxTries, TimePoint deadline);
 
     /// Prepares a try. Nothing may be sent before permitSending().
-    /// Errors: DeadlinePassed; BudgetSpent (cap reached); KeyInUse (an earlier try may run, or was meant for another
-    /// upstream than the key's owner); Cancelled (the call ended). The call itself is not ended by them.
+    /// Errors: DeadlinePassed; BudgetSpent (maximum of tries reached); KeyInUse (an earlier try may run, or the
+    /// upstream of @p target is not the owner of the key); Cancelled (the call has ended). An error does not end the
+    /// call.
     [[nodiscard]] Result<TryId> startTry(const NodeIdentity &target, TimePoint now);
-    /// To be called last before the first byte is written, without waiting in between. False: write nothing. From
-    /// true on, the try counts as having left.
+    /// Returns whether the try may be sent. Call this immediately before the first byte is written, without waiting in
+    /// between. After true the try counts as sent; after false nothing may be written.
     [[nodiscard]] bool permitSending(TryNumber number, TimePoint now);
-    /// The try ended without an answer. A try that had not left is not run. One that had is not run only if the egress
-    /// said so in @p failure; the node itself reports broken connections and silence as may-have-run.
+    /// Records that a try ended without an answer. A try that was not sent is not run. A try that was sent is not run
+    /// only if the egress said so in @p failure; the ingress itself reports broken connections and silence as
+    /// may-have-run.
     [[nodiscard]] NextStep tryFailed(TryNumber number, const Failure &failure);
-    /// The whole answer to a try arrived. True once at most: give it to the caller.
+    /// Records that the complete answer to a try has arrived. Returns whether to give the answer to the caller; that is
+    /// true at most once.
     [[nodiscard]] bool answered(TryNumber number);
-    /// Ends the call. Nothing if it ended before; else the failure to give to the caller, with the verdict that the
-    /// tries prove. A call with a key is not run only if its owner says so: another call may have run under the key.
+    /// Ends the call. Returns the failure to give to the caller, with the verdict that the tries prove, or nothing if
+    /// the call had ended before. A call with a key is not run only if the owner of the key says so, because another
+    /// call may have run under the key.
     [[nodiscard]] std::optional<Failure> giveUp(Reason reason, Milliseconds retryAfter = Milliseconds{0},
                                                 std::string detail = {});
 
-    /// Ends the call with a failure found before any try left, such as KeyRouter's. If a try left, as giveUp().
+    /// Ends the call with a failure that was found before any try was started, such as one of KeyRouter. Same as
+    /// giveUp() if a try was started.
     [[nodiscard]] std::optional<Failure> refuse(const Failure &failure);
 
     [[nodiscard]] CallPhase phase() const;
     [[nodiscard]] const IngressCallId &id() const { return id_; }
     [[nodiscard]] TimePoint deadline() const { return deadline_; }
-    /// Tries that left and have not ended; cancel them after the verdict.
+    /// Tries that were sent and have not ended. The ingress cancels them after the verdict.
     [[nodiscard]] std::vector<TryId> outstanding() const;
-    /// Tries started so far.
+    /// Number of tries started so far.
     [[nodiscard]] std::uint32_t tries() const { return static_cast<std::uint32_t>(tries_.size()); }
 
 private:
     enum class TryState : std::uint8_t {
         Prepared,
-        Left,
+        InFlight,
         NotRun,
         MayHaveRun,
     };
@@ -100,22 +106,24 @@
     {
         NodeIdentity target;
         TryState state = TryState::Prepared;
-        bool left = false;
+        /// Stays true after the try has ended.
+        bool wasSent = false;
     };
 
-    [[nodiscard]] bool ended() const { return end_ != CallPhase::Deciding; }
-    [[nodiscard]] Try *find(TryNumber number);
-    [[nodiscard]] bool anyTryIn(TryState state) const;
-    [[nodiscard]] bool underWay() const;
-    [[nodiscard]] bool earlierTriesForbid(const NodeIdentity &target) const;
-    [[nodiscard]] bool provedNotRun() const;
+    [[nodiscard]] bool hasEnded() const { return finalPhase_ != CallPhase::Deciding; }
+    [[nodiscard]] Try *findTry(TryNumber number);
+    [[nodiscard]] bool hasTryIn(TryState state) const;
+    [[nodiscard]] bool hasOpenTry() const;
+    [[nodiscard]] bool isForbiddenByEarlierTries(const NodeIdentity &target) const;
+    [[nodiscard]] bool isProvedNotRun() const;
 
     IngressCallId id_;
     Repetition repetition_;
-    std::uint32_t triesCap_;
+    std::uint32_t maxTries_;
     TimePoint deadline_;
     std::vector<Try> tries_;
-    CallPhase end_ = CallPhase::Deciding;
+    /// The phase in which the call ended, or Deciding while it has not ended.
+    CallPhase finalPhase_ = CallPhase::Deciding;
 };
 
 }
--- a/src/idempotency/ingresscallid.h
+++ b/src/idempotency/ingresscallid.h
@@ -10,12 +10,13 @@
 namespace Egretpath
 {
 
-/// Counts the calls of one ingress incarnation, from 1; larger is later.
+/// Number of a call among the calls of one ingress incarnation, from 1; a later call has a larger number.
 using CallSequence = StrongType<struct CallSequenceTag, std::uint64_t>;
-/// Counts the tries of one call, from 1.
+/// Number of a try among the tries of one call, from 1.
 using TryNumber = StrongType<struct TryNumberTag, std::uint32_t>;
 
-/// One call, named by the ingress that took it. Unique without a clock, because incarnations are drawn at random.
+/// Identifies a call; assigned by the ingress that took the call. Unique without a clock, because incarnations are
+/// drawn at random.
 struct IngressCallId
 {
     Incarnation ingress;
@@ -28,7 +29,8 @@
     }
 };
 
-/// One sending of a call to one egress. A try is sent once; what arrives a second time is a copy.
+/// Identifies one sending of a call to one egress. Each try is sent once, so a second arrival of the same id is a
+/// duplicate.
 struct TryId
 {
     IngressCallId call;
@@ -48,8 +50,8 @@
 {
     std::size_t operator()(const Egretpath::TryId &item) const noexcept
     {
-        constexpr std::uint64_t Spread = 0x9e3779b97f4a7c15ULL;
-        const std::uint64_t call = item.call.ingress.value() ^ (item.call.sequence.value() * Spread);
-        return call ^ (item.number.value() * (Spread >> 1U));
+        constexpr std::uint64_t Multiplier = 0x9e3779b97f4a7c15ULL;
+        const std::uint64_t call = item.call.ingress.value() ^ (item.call.sequence.value() * Multiplier);
+        return call ^ (item.number.value() * (Multiplier >> 1U));
     }
 };
--- a/src/idempotency/latenessguard.cpp
+++ b/src/idempotency/latenessguard.cpp
@@ -13,18 +13,19 @@
 Duration LatenessGuard::observe(Incarnation peer, Duration sentAt, TimePoint arrivedAt)
 {
     if (!peers_.contains(peer)) {
-        makeRoom();
+        evictPeer();
         peers_[peer].windowStart = arrivedAt;
     }
-    Peer &known = peers_[peer];
-    known.heardAt = arrivedAt;
-    rotate(known, arrivedAt);
+    Peer &state = peers_[peer];
+    state.lastArrival = arrivedAt;
+    rotateWindow(state, arrivedAt);
     const Duration difference = arrivedAt.time_since_epoch() - sentAt;
-    const Duration least = std::min(aged(known.current, arrivedAt), aged(known.previous, arrivedAt));
-    if (difference <= aged(known.current, arrivedAt)) {
-        known.current = Least{difference, arrivedAt};
+    const Duration minDifference =
+        std::min(withDrift(state.currentMin, arrivedAt), withDrift(state.previousMin, arrivedAt));
+    if (difference <= withDrift(state.currentMin, arrivedAt)) {
+        state.currentMin = Minimum{difference, arrivedAt};
     }
-    return difference > least ? difference - least : Duration{0};
+    return difference > minDifference ? difference - minDifference : Duration{0};
 }
 
 void LatenessGuard::forget(Incarnation peer)
@@ -32,37 +33,38 @@
     peers_.erase(peer);
 }
 
-void LatenessGuard::makeRoom()
+void LatenessGuard::evictPeer()
 {
-    if (peers_.size() < limits_.peers) {
+    if (peers_.size() < limits_.maxPeers) {
         return;
     }
-    const auto silent = std::min_element(peers_.begin(), peers_.end(), [](const auto &left, const auto &right) {
-        return left.second.heardAt < right.second.heardAt;
+    const auto oldest = std::min_element(peers_.begin(), peers_.end(), [](const auto &left, const auto &right) {
+        return left.second.lastArrival < right.second.lastArrival;
     });
-    if (silent != peers_.end()) {
-        peers_.erase(silent);
+    if (oldest != peers_.end()) {
+        peers_.erase(oldest);
     }
 }
 
-void LatenessGuard::rotate(Peer &peer, TimePoint now) const
+void LatenessGuard::rotateWindow(Peer &peer, TimePoint now) const
 {
-    // Only a call ends a window: after a silence the last least transit is all that shows a late call.
+    // Only a call ends a window. After a silence, the minimum from before the silence is all that a late call can be
+    // compared with.
     if (now - peer.windowStart < limits_.window) {
         return;
     }
-    peer.previous = peer.current;
-    peer.current = Least{};
+    peer.previousMin = peer.currentMin;
+    peer.currentMin = Minimum{};
     peer.windowStart = now;
 }
 
-Duration LatenessGuard::aged(const Least &least, TimePoint now) const
+Duration LatenessGuard::withDrift(const Minimum &minimum, TimePoint now) const
 {
     constexpr std::int64_t Million = 1'000'000;
-    if (least.difference == Duration::max()) {
-        return least.difference;
+    if (minimum.difference == Duration::max()) {
+        return minimum.difference;
     }
-    return least.difference + (now - least.seenAt) / Million * limits_.driftPartsPerMillion;
+    return minimum.difference + (now - minimum.observedAt) / Million * limits_.driftPartsPerMillion;
 }
 
 }
--- a/src/idempotency/latenessguard.h
+++ b/src/idempotency/latenessguard.h
@@ -13,31 +13,33 @@
 /// Limits of a LatenessGuard.
 struct LatenessLimits
 {
-    /// The least transit is taken over the current and the previous window with calls, so that a jump of a peer's clock
-    /// is forgotten.
+    /// The minimum transit time is taken over the current and the previous window with calls, so that a jump of a
+    /// peer's clock is forgotten.
     Duration window = std::chrono::minutes(1);
-    /// How much the two monotonic clocks may drift apart, in parts per million; a least transit ages by it.
+    /// How much the two monotonic clocks may drift apart, in parts per million. An observed minimum is raised by this
+    /// rate.
     std::int64_t driftPartsPerMillion = 200;
-    /// Peers remembered; beyond it the one unheard for longest is forgotten.
-    std::size_t peers = 32'768;
+    /// Maximum number of peers remembered; beyond it the peer whose last call is oldest is forgotten.
+    std::size_t maxPeers = 32'768;
 };
 
-/// Finds calls that waited on their way, in a paused process or a stalled link, without synchronized clocks.
+/// Finds calls that were delayed on their way, in a paused process or on a stalled link, without synchronized clocks.
 ///
-/// The least seen difference between arrival here and sending there, by the two processes' monotonic clocks, stands for
-/// clock offset plus least transit. What a call exceeds it by is the time it waited.
-/// It cannot see a wait that all calls of both windows shared, nor that of the first call from a peer, nor the least
-/// transit itself, nor waits shorter than the drift since the least was seen. A peer whose monotonic clock stood still
-/// while its VM was suspended makes later calls look late for up to two windows: refused without need, but never run
-/// without right.
-/// Thread safety: none; one strand owns it.
+/// The minimum difference between the arrival time here and the sending time there, by the monotonic clocks of the two
+/// processes, stands for the clock offset plus the minimum transit time. The amount by which a call exceeds the minimum
+/// is its delay.
+/// The guard cannot detect a delay that all calls of both windows shared, the delay of the first call from a peer, the
+/// minimum transit time itself, or a delay shorter than the drift since the minimum was observed. If the monotonic
+/// clock of a peer stood still while its VM was suspended, later calls look late for up to two windows. They may then
+/// be refused without need, but no call runs that should have been refused. Thread safety: none; one strand owns it.
 class LatenessGuard
 {
 public:
     explicit LatenessGuard(LatenessLimits limits = {});
 
-    /// How much longer than the least this call was on its way. @p sentAt is the peer's monotonic time as the peer read
-    /// it just before sending, counted from the peer's own epoch. Errors: none; zero for the first call from a peer.
+    /// Returns by how much the transit time of this call exceeds the minimum. @p sentAt is the peer's monotonic time,
+    /// read by the peer just before sending and counted from the peer's own epoch. Errors: none; zero for the first
+    /// call from a peer.
     [[nodiscard]] Duration observe(Incarnation peer, Duration sentAt, TimePoint arrivedAt);
 
     /// Forgets a peer. Not needed on reconnection: the clocks stay the same while the incarnation does.
@@ -46,23 +48,26 @@
     [[nodiscard]] std::size_t peerCount() const { return peers_.size(); }
 
 private:
-    struct Least
+    struct Minimum
     {
         Duration difference = Duration::max();
-        TimePoint seenAt;
+        TimePoint observedAt;
     };
 
     struct Peer
     {
         TimePoint windowStart;
-        Least current;
-        Least previous;
-        TimePoint heardAt;
+        Minimum currentMin;
+        Minimum previousMin;
+        TimePoint lastArrival;
     };
 
-    void makeRoom();
-    void rotate(Peer &peer, TimePoint now) const;
-    [[nodiscard]] Duration aged(const Least &least, TimePoint now) const;
+    /// Forgets the peer whose last call is oldest, if the maximum number of peers is reached.
+    void evictPeer();
+    /// Starts a new window if the current one is over.
+    void rotateWindow(Peer &peer, TimePoint now) const;
+    /// The difference of @p minimum, raised by the drift that is possible since it was observed.
+    [[nodiscard]] Duration withDrift(const Minimum &minimum, TimePoint now) const;
 
     LatenessLimits limits_;
     std::unordered_map<Incarnation, Peer> peers_;
--- a/tests/idempotency/callstatetest.cpp
+++ b/tests/idempotency/callstatetest.cpp
@@ -15,14 +15,14 @@
 constexpr TryNumber Try1(1);
 constexpr TryNumber Try2(2);
 
-CallState callState(Repetition repetition, std::uint32_t cap = 3)
+CallState callState(Repetition repetition, std::uint32_t maxTries = 3)
 {
-    return {IngressCallId{Incarnation(7), CallSequence(1)}, repetition, cap, Deadline};
+    return {IngressCallId{Incarnation(7), CallSequence(1)}, repetition, maxTries, Deadline};
 }
 
-CallState sentOnce(Repetition repetition, std::uint32_t cap = 3)
+CallState callSentOnce(Repetition repetition, std::uint32_t maxTries = 3)
 {
-    CallState call = callState(repetition, cap);
+    CallState call = callState(repetition, maxTries);
     REQUIRE(call.startTry(First, Start));
     REQUIRE(call.permitSending(Try1, Start));
     return call;
@@ -30,7 +30,7 @@
 
 }
 
-TEST_CASE("a call that never left is not run, unless an earlier call may have used its key")
+TEST_CASE("a call that was never sent is not run, unless an earlier call may have used its key")
 {
     for (const auto &[repetition, verdict] :
          {std::pair(Repetition::Repeatable, Verdict::NotRun), std::pair(Repetition::Once, Verdict::NotRun),
@@ -42,25 +42,25 @@
     }
 }
 
-TEST_CASE("a call that left is not run only if the egress proves it")
+TEST_CASE("a call that was sent is not run only if the egress proves it")
 {
     for (const Repetition repetition : {Repetition::Repeatable, Repetition::Once, Repetition::OncePerKey}) {
-        CallState silent = sentOnce(repetition);
-        CHECK(silent.phase() == CallPhase::Sent);
-        CHECK(silent.outstanding().size() == 1);
-        CHECK(silent.giveUp(Reason::DeadlinePassed)->verdict == Verdict::MayHaveRun);
-        CallState lost = sentOnce(repetition);
+        CallState unanswered = callSentOnce(repetition);
+        CHECK(unanswered.phase() == CallPhase::Sent);
+        CHECK(unanswered.outstanding().size() == 1);
+        CHECK(unanswered.giveUp(Reason::DeadlinePassed)->verdict == Verdict::MayHaveRun);
+        CallState lost = callSentOnce(repetition);
         (void)lost.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost));
         CHECK(lost.giveUp(Reason::ConnectionLost)->verdict == Verdict::MayHaveRun);
-        CallState refused = sentOnce(repetition);
+        CallState refused = callSentOnce(repetition);
         CHECK(refused.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::MayTryAgain);
         CHECK(refused.giveUp(Reason::Overloaded)->verdict == Verdict::NotRun);
     }
 }
 
-TEST_CASE("one lost try among refused ones keeps the verdict at may-have-run")
+TEST_CASE("one lost try keeps the verdict at may-have-run, even if another try was refused")
 {
-    CallState call = sentOnce(Repetition::OncePerKey);
+    CallState call = callSentOnce(Repetition::OncePerKey);
     CHECK(call.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::MayTryAgain);
     REQUIRE(call.startTry(First, Start));
     REQUIRE(call.permitSending(Try2, Start));
@@ -68,9 +68,9 @@
     CHECK(call.giveUp(Reason::Overloaded)->verdict == Verdict::MayHaveRun);
 }
 
-TEST_CASE("a call that may run once is sent again only after a proof")
+TEST_CASE("a call that may run once is sent again only after a proof that it did not run")
 {
-    CallState call = sentOnce(Repetition::Once);
+    CallState call = callSentOnce(Repetition::Once);
     CHECK(call.startTry(Second, Start).error().reason == Reason::KeyInUse);
     SECTION("refused")
     {
@@ -86,15 +86,15 @@
 
 TEST_CASE("a call with a key is sent again only to the key's owner")
 {
-    CallState call = sentOnce(Repetition::OncePerKey);
+    CallState call = callSentOnce(Repetition::OncePerKey);
     REQUIRE(call.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::MayTryAgain);
     CHECK(call.startTry(Second, Start).error().reason == Reason::KeyInUse);
     CHECK(call.startTry(First, Start));
 }
 
-TEST_CASE("a repeatable call may have two tries under way; the first whole answer counts")
+TEST_CASE("a repeatable call may have two tries under way, and the first complete answer counts")
 {
-    CallState call = sentOnce(Repetition::Repeatable);
+    CallState call = callSentOnce(Repetition::Repeatable);
     REQUIRE(call.startTry(Second, Start));
     CHECK_FALSE(call.answered(Try2));
     REQUIRE(call.permitSending(Try2, Start));
@@ -107,7 +107,7 @@
 
 TEST_CASE("exactly one verdict is given, and later events change nothing")
 {
-    CallState call = sentOnce(Repetition::Repeatable);
+    CallState call = callSentOnce(Repetition::Repeatable);
     REQUIRE(call.giveUp(Reason::DeadlinePassed));
     CHECK_FALSE(call.giveUp(Reason::Cancelled));
     CHECK_FALSE(call.refuse(notRun(Reason::BadKey)));
@@ -117,11 +117,11 @@
     CHECK(call.phase() == CallPhase::GivenUp);
 }
 
-TEST_CASE("tries end at the cap, leave once, and neither start nor leave past the deadline")
+TEST_CASE("tries stop at the maximum, are sent once, and neither start nor are sent past the deadline")
 {
-    CallState capped = sentOnce(Repetition::Repeatable, 1);
-    CHECK(capped.startTry(Second, Start).error().reason == Reason::BudgetSpent);
-    CHECK(capped.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::GiveUp);
+    CallState limited = callSentOnce(Repetition::Repeatable, 1);
+    CHECK(limited.startTry(Second, Start).error().reason == Reason::BudgetSpent);
+    CHECK(limited.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::GiveUp);
     CallState late = callState(Repetition::Repeatable);
     REQUIRE(late.startTry(First, Start));
     CHECK_FALSE(late.permitSending(Try1, Deadline));
@@ -130,10 +130,10 @@
     CHECK(late.startTry(First, Deadline).error().reason == Reason::DeadlinePassed);
 }
 
-TEST_CASE("a refusal found before any try left keeps its own verdict; afterwards the tries decide")
+TEST_CASE("a refusal before the first try keeps its own verdict, a later one gets the verdict of the tries")
 {
-    CallState fresh = callState(Repetition::OncePerKey);
-    CHECK(fresh.refuse(notRun(Reason::BadKey))->verdict == Verdict::NotRun);
-    CallState sent = sentOnce(Repetition::OncePerKey);
+    CallState unsent = callState(Repetition::OncePerKey);
+    CHECK(unsent.refuse(notRun(Reason::BadKey))->verdict == Verdict::NotRun);
+    CallState sent = callSentOnce(Repetition::OncePerKey);
     CHECK(sent.refuse(notRun(Reason::BadKey))->verdict == Verdict::MayHaveRun);
 }
--- a/tests/idempotency/latenessguardtest.cpp
+++ b/tests/idempotency/latenessguardtest.cpp
@@ -12,25 +12,25 @@
 
 }
 
-TEST_CASE("the wait of a call is what its transit exceeds the least by, whatever the peer's clock shows")
+TEST_CASE("the delay of a call is what its transit time exceeds the minimum by, whatever the peer's clock shows")
 {
     for (const Duration offset : {Duration(0s), Duration(500h), Duration(-3h)}) {
         LatenessGuard guard;
         CHECK(guard.observe(Peer, offset, Start + 2ms) == 0s);
         CHECK(guard.observe(Peer, offset + 100ms, Start + 101ms) == 0s);
-        const Duration waited = guard.observe(Peer, offset + 200ms, Start + 200ms + 1ms + 3s);
-        CHECK(waited <= 3s);
-        CHECK(waited > 2990ms);
+        const Duration delay = guard.observe(Peer, offset + 200ms, Start + 200ms + 1ms + 3s);
+        CHECK(delay <= 3s);
+        CHECK(delay > 2990ms);
     }
 }
 
-TEST_CASE("after a long silence a late call is still seen, but for the drift of the clocks")
+TEST_CASE("a late call after a long silence is still detected, less the drift of the clocks")
 {
     LatenessGuard guard;
     CHECK(guard.observe(Peer, 0s, Start) == 0s);
-    const Duration waited = guard.observe(Peer, 1h, Start + 1h + 10s);
-    CHECK(waited > 9s);
-    CHECK(waited <= 10s);
+    const Duration delay = guard.observe(Peer, 1h, Start + 1h + 10s);
+    CHECK(delay > 9s);
+    CHECK(delay <= 10s);
 }
 
 TEST_CASE("drift within the limit does not make calls look late")
@@ -47,20 +47,20 @@
 {
     LatenessGuard guard;
     CHECK(guard.observe(Peer, 100s, Start) == 0s);
-    Duration waited = 0s;
+    Duration delay = 0s;
     for (int second = 1; second <= 180; ++second) {
-        waited = guard.observe(Peer, 90s + second * 1s, Start + second * 1s);
+        delay = guard.observe(Peer, 90s + second * 1s, Start + second * 1s);
         if (second == 1) {
-            CHECK(waited > 9s);
+            CHECK(delay > 9s);
         }
     }
-    CHECK(waited < 100ms);
+    CHECK(delay < 100ms);
 }
 
-TEST_CASE("the peer silent for longest is forgotten when there is no room")
+TEST_CASE("the peer whose last call is oldest is forgotten when the maximum of peers is reached")
 {
     LatenessLimits limits;
-    limits.peers = 2;
+    limits.maxPeers = 2;
     LatenessGuard guard(limits);
     (void)guard.observe(Incarnation(1), 0s, Start);
     (void)guard.observe(Incarnation(2), 0s, Start + 1s);
