--- a/src/routes/packedroutes.h
+++ b/src/routes/packedroutes.h
@@ -8,10 +8,11 @@
 namespace Egretpath
 {
 
-/// Routes as they travel between nodes: what the platform published, compressed.
+/// Routes as nodes send them to each other: the text that the platform published, compressed.
 ///
-/// Each change of a table goes to every node whole, and over a few steps. Its routes resemble each other, so that
-/// compressed once, by the node that read it, it is a fraction of its size on every link. Thread safety: safe.
+/// Each change of a table sends the complete table to every node, over a few steps from node to node. The routes of a
+/// table resemble each other, so the table compresses to a fraction of its size. The node that read it from the store
+/// compresses it once for all links. Thread safety: safe.
 struct PackedRoutes
 {
     std::string bytes;
@@ -19,9 +20,10 @@
     [[nodiscard]] bool empty() const { return bytes.empty(); }
 };
 
-/// Errors: std::bad_alloc.
+/// Compresses @p text. Errors: std::bad_alloc.
 [[nodiscard]] PackedRoutes packRoutes(std::string_view text);
-/// Errors: BadRequest for bytes that packRoutes() did not make, or for more text than a store holds under one key.
+/// Returns the text that was packed. Errors: BadRequest for bytes that packRoutes() did not make, or for more text than
+/// a store holds under one key.
 [[nodiscard]] Result<std::string> unpackRoutes(const PackedRoutes &packed);
 
 }
--- a/src/routes/routerows.cpp
+++ b/src/routes/routerows.cpp
@@ -12,15 +12,15 @@
 
 constexpr std::string_view Header = "host,prefix,route,kind,priority,service,weight,target_ms,timeout_ms,attempts\n";
 
-/// Quoted where a comma, quote or line end would break the row.
-std::string field(const std::string &text)
+/// Returns @p text as a field of a CSV row, quoted if a comma, quote or line end in it would break the row.
+std::string csvField(const std::string &text)
 {
     if (text.find_first_of(",\"\n") == std::string::npos) {
         return text;
     }
     std::string quoted = "\"";
-    for (const char letter : text) {
-        quoted += letter == '"' ? "\"\"" : std::string(1, letter);
+    for (const char character : text) {
+        quoted += character == '"' ? "\"\"" : std::string(1, character);
     }
     return quoted + '"';
 }
@@ -35,19 +35,19 @@
             rows.push_back({host, route, destination});
         }
     });
-    const auto place = [](const RouteRow &row) {
+    const auto sortKey = [](const RouteRow &row) {
         return std::tie(row.host, row.route.prefix, row.destination.service);
     };
     std::sort(rows.begin(), rows.end(),
-              [&place](const RouteRow &left, const RouteRow &right) { return place(left) < place(right); });
+              [&sortKey](const RouteRow &left, const RouteRow &right) { return sortKey(left) < sortKey(right); });
     return rows;
 }
 
 std::string toCsv(const RouteRow &row)
 {
     std::ostringstream text;
-    text << field(row.host) << ',' << field(row.route.prefix) << ',' << field(row.route.name.value()) << ','
-         << toString(row.route.kind) << ',' << row.route.priority << ',' << field(row.destination.service.value())
+    text << csvField(row.host) << ',' << csvField(row.route.prefix) << ',' << csvField(row.route.name.value()) << ','
+         << toString(row.route.kind) << ',' << row.route.priority << ',' << csvField(row.destination.service.value())
          << ',' << row.destination.weight << ',' << row.route.targetLatency.count() << ',' << row.route.timeout.count()
          << ',' << row.route.maxAttempts;
     return text.str();
--- a/src/routes/routerows.h
+++ b/src/routes/routerows.h
@@ -8,7 +8,7 @@
 namespace Egretpath
 {
 
-/// One row of the table that operators read: what holds for the part of a route's requests that goes to one service.
+/// One row of the table that operators read: a route and one of the services to which its requests go.
 struct RouteRow
 {
     std::string host;
@@ -16,12 +16,12 @@
     Destination destination;
 };
 
-/// All rows of @p table, by host, prefix and service. Thread safety: safe.
+/// All rows of @p table, sorted by host, prefix and service. Thread safety: safe.
 [[nodiscard]] std::vector<RouteRow> rowsOf(const RouteTable &table);
-/// The table as comma-separated values with a header line, for a spreadsheet. Times are in milliseconds.
+/// Returns the table as comma-separated values with a header line, for spreadsheets. Times are in milliseconds.
 /// Thread safety: safe.
 [[nodiscard]] std::string toCsv(const RouteTable &table);
-/// One row of toCsv(), without its line end. Thread safety: safe.
+/// Returns one row as comma-separated values, without a line end. Thread safety: safe.
 [[nodiscard]] std::string toCsv(const RouteRow &row);
 
 }
--- a/src/routes/routetable.cpp
+++ b/src/routes/routetable.cpp
@@ -13,13 +13,14 @@
 
 constexpr std::array<std::string_view, 3> KindWords{"safe", "unsafe", "upload"};
 
-/// The host as it is looked up: lower case, without its port.
+/// Returns the key under which @p host is looked up: in lower case, without the port.
 std::string hostKey(std::string_view host)
 {
     const std::size_t colon = host.rfind(':');
     const bool hasPort = colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos;
     std::string key(hasPort ? host.substr(0, colon) : host);
-    std::transform(key.begin(), key.end(), key.begin(), [](unsigned char letter) { return std::tolower(letter); });
+    std::transform(key.begin(), key.end(), key.begin(),
+                   [](unsigned char character) { return std::tolower(character); });
     return key;
 }
 
@@ -56,7 +57,8 @@
         return nullptr;
     }
     path = path.substr(0, path.find('?'));
-    // Each prefix ends with a slash, so only the path's own slashes can end one: the longest comes first.
+    // Each prefix ends with a slash, so only the parts of the path that end with a slash can match. The longest is
+    // tried first.
     std::size_t slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto route = found->second.find(std::string(path.substr(0, slash + 1)));
--- a/src/routes/routetable.h
+++ b/src/routes/routetable.h
@@ -16,35 +16,35 @@
 
 /// A route's name in logs and metrics.
 using RouteName = Name<struct RouteNameTag>;
-/// The number of a route table; larger is newer.
+/// Version of a route table; a newer table has a larger version.
 using RouteVersion = StrongType<struct RouteVersionTag, std::uint64_t>;
 
-/// What may be done with a request when it is not known whether it ran.
+/// Whether a request may be sent again when it is not known whether it ran.
 enum class RequestKind : std::uint8_t {
-    /// Idempotent: it may run more than once.
+    /// The request is idempotent and may run more than once.
     Safe,
-    /// It may run once at most.
+    /// The request may run at most once.
     Unsafe,
-    /// As Unsafe, with a large body.
+    /// Same as Unsafe, for requests with a large body.
     Upload,
 };
 
-/// The stable word for @p kind in logs. Thread safety: safe.
+/// Returns the stable name of @p kind in logs. Thread safety: safe.
 [[nodiscard]] std::string_view toString(RequestKind kind);
 
 /// A service that takes part of a route's requests.
 struct Destination
 {
     ServiceName service;
-    /// Relative to the other destinations of the route.
+    /// Share of the requests, relative to the weights of the route's other destinations.
     std::uint32_t weight = 1;
 };
 
-/// What holds for the requests under one host and path prefix.
+/// Destinations and limits of the requests with one host and path prefix.
 struct Route
 {
     RouteName name;
-    /// Begins and ends with a slash.
+    /// Starts and ends with a slash.
     std::string prefix;
     RequestKind kind = RequestKind::Unsafe;
     /// A response within this time is as good as an immediate one.
@@ -53,32 +53,36 @@
     Milliseconds timeout{0};
     /// 0 is the most urgent.
     std::uint32_t priority = 0;
-    /// Upstreams to which one request may be sent in all.
+    /// Maximum number of upstreams to which one request may be sent in all.
     std::uint32_t maxAttempts = 1;
     std::vector<Destination> destinations;
 };
 
-/// What is known of a service besides its upstreams.
+/// Settings of a service, apart from its list of upstreams.
 struct ServiceEntry
 {
     ServiceName name;
     std::string healthPath = "/health";
-    /// Connections that one upstream takes from all its callers together.
+    /// Maximum number of connections that one upstream accepts from all its callers together.
     std::uint32_t connectionCap = 64;
 };
 
-/// What callers may send, and how slowly.
+/// Limits on the size of what callers send and on the time that they take.
 struct CallerLimits
 {
+    /// Maximum size of the request head.
     Bytes headerBytes{16UL * 1024};
+    /// Maximum size of the request body.
     Bytes bodyBytes{64UL * 1024 * 1024};
+    /// Maximum time until the request head is complete.
     Milliseconds headerTime{3000};
+    /// Maximum time for which a connection may be idle or make no progress.
     Milliseconds idleTime{15'000};
 };
 
-/// The operators' routes: which service takes a request, and within which limits.
+/// The routes that operators configured: which service takes a request, and within which limits.
 ///
-/// Immutable; a change is a new table with a larger version. Thread safety: const access may be shared.
+/// Immutable; a change makes a new table with a larger version. Thread safety: const access may be shared.
 class RouteTable
 {
 public:
@@ -95,12 +99,12 @@
     [[nodiscard]] RouteVersion version() const { return version_; }
     [[nodiscard]] const CallerLimits &limits() const { return limits_; }
 
-    /// The route with the longest prefix of @p path among those of @p host, or null. The port of @p host and the query
-    /// of @p path don't count, nor does the case of the host. Errors: none.
+    /// Returns the route of @p host with the longest prefix of @p path, or null. The port and the case of @p host and
+    /// the query of @p path are ignored. Errors: none.
     [[nodiscard]] const Route *match(std::string_view host, std::string_view path) const;
-    /// Null for a service that the table doesn't name. Errors: none.
+    /// Returns the entry of a service, or null if the table has none. Errors: none.
     [[nodiscard]] const ServiceEntry *service(const ServiceName &name) const;
-    /// Calls @p action with each route and its host, in no order.
+    /// Calls @p action with each route and its host, in no particular order.
     void forEachRoute(const std::function<void(const std::string &, const Route &)> &action) const;
     [[nodiscard]] std::size_t routeCount() const { return routeCount_; }
 
--- a/src/routes/trafficsplit.cpp
+++ b/src/routes/trafficsplit.cpp
@@ -32,7 +32,7 @@
     }
     Credits &credits = credits_[route.name];
     if (credits.size() != route.destinations.size()) {
-        credits = startOf(route);
+        credits = initialCredits(route);
     }
     for (std::size_t index = 0; index < credits.size(); ++index) {
         credits[index] += route.destinations[index].weight;
@@ -42,7 +42,7 @@
     return route.destinations[static_cast<std::size_t>(chosen - credits.begin())].service;
 }
 
-TrafficSplit::Credits TrafficSplit::startOf(const Route &route) const
+TrafficSplit::Credits TrafficSplit::initialCredits(const Route &route) const
 {
     Random random(seed_ ^ std::hash<RouteName>{}(route.name));
     const double total = totalWeight(route);
@@ -52,7 +52,7 @@
         credits.push_back(std::uniform_real_distribution<double>(0.0, total)(random));
         sum += credits.back();
     }
-    // The credits of a running split add up to zero.
+    // Each call of next() leaves the sum of the credits unchanged; it has to start at zero.
     for (double &credit : credits) {
         credit -= sum / static_cast<double>(credits.size());
     }
--- a/src/routes/trafficsplit.h
+++ b/src/routes/trafficsplit.h
@@ -9,27 +9,31 @@
 namespace Egretpath
 {
 
-/// Spreads the requests of each route over its destinations in the proportion of their weights.
+/// Distributes the requests of each route over its destinations in proportion to their weights.
 ///
-/// Smooth weighted round robin: after any number of requests each destination's share is off by less than one request,
-/// which a draw at random would miss by its square root. Each route starts at a place of its own, so that many nodes
-/// with few requests each don't all begin with the same destination.
-/// Thread safety: none; one owner. Errors: none.
+/// Uses smooth weighted round robin: after any number of requests, the count of each destination is less than one
+/// request away from its share. With a random draw the error would be about the square root of the count. Each route
+/// starts with random credits that depend on the seed, so that many nodes with few requests each do not all start with
+/// the same destination. Thread safety: none; one owner. Errors: none.
 class TrafficSplit
 {
 public:
-    /// @p seed: where the routes start; give each node another one.
+    /// @p seed determines the credits that routes start with; it should differ from node to node.
     explicit TrafficSplit(std::uint64_t seed);
 
-    /// The service of the next request. Precondition: @p route has a destination.
+    /// Returns the service that takes the next request. Precondition: @p route has a destination.
     [[nodiscard]] const ServiceName &next(const Route &route);
-    /// Forgets routes that a new table no longer has, and starts again where weights changed.
+    /// Starts all routes anew. To be called after a change of the table: routes may be gone and weights may have
+    /// changed.
     void clear() { credits_.clear(); }
 
 private:
+    /// For each destination of a route, how far it is behind its share; a request counts as the total weight of the
+    /// route.
     using Credits = std::vector<double>;
 
-    [[nodiscard]] Credits startOf(const Route &route) const;
+    /// Random credits that add up to zero.
+    [[nodiscard]] Credits initialCredits(const Route &route) const;
 
     std::uint64_t seed_;
     std::unordered_map<RouteName, Credits> credits_;
