--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -16,8 +16,8 @@
 /// Constants of Quarantine.
 struct QuarantineSettings
 {
-    /// Weighted number of upstream crashes with the same request under way from which the request is refused. One crash
-    /// proves nothing: an upstream holds several requests, and the others were under way by chance.
+    /// A request is refused once the weights of the upstream crashes with the request under way add up to this value.
+    /// One crash proves nothing: an upstream holds several requests, and most of them are under way by chance.
     double crashesToRefuse = 2.0;
     /// Weight of the crash of an upstream that flaps; any other crash weighs 1.
     double flappingWeight = 0.5;
--- a/tests/quarantine/quarantinefleet.cpp
+++ b/tests/quarantine/quarantinefleet.cpp
@@ -86,7 +86,7 @@
             send(node, keeper, result.known);
         }
     }
-    gossip(node, result.refused);
+    scheduleGossip(node, result.refused);
 }
 
 void QuarantineFleet::send(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests)
@@ -108,10 +108,10 @@
 
 void QuarantineFleet::receive(std::size_t node, const std::vector<SuspectedRequest> &requests)
 {
-    gossip(node, nodes_[node].quarantine.take(requests, now()));
+    scheduleGossip(node, nodes_[node].quarantine.take(requests, now()));
 }
 
-void QuarantineFleet::gossip(std::size_t node, const std::vector<SuspectedRequest> &refused)
+void QuarantineFleet::scheduleGossip(std::size_t node, const std::vector<SuspectedRequest> &refused)
 {
     const auto due = nodes_[node].spread.gather(refused, now());
     if (!due) {
--- a/tests/quarantine/quarantinefleet.h
+++ b/tests/quarantine/quarantinefleet.h
@@ -19,7 +19,7 @@
 {
     std::size_t nodes = 18;
     std::size_t regions = 3;
-    /// The upstreams beside this many nodes, the first ones, belong to the service that requests crash.
+    /// Number of nodes, counted from the first, whose upstream belongs to the service that requests crash.
     std::size_t serviceNodes = 6;
     /// Time that a message takes from one node to another.
     Milliseconds latency{10};
@@ -66,7 +66,7 @@
     void call(std::size_t from);
     void send(std::size_t from, const Endpoint &to, const std::vector<SuspectedRequest> &requests);
     void receive(std::size_t node, const std::vector<SuspectedRequest> &requests);
-    void gossip(std::size_t node, const std::vector<SuspectedRequest> &refused);
+    void scheduleGossip(std::size_t node, const std::vector<SuspectedRequest> &refused);
     [[nodiscard]] bool isReachable(std::size_t from, std::size_t to) const;
 
     FleetShape shape_;
