--- a/tests/routes/routetabletest.cpp
+++ b/tests/routes/routetabletest.cpp
@@ -77,7 +77,7 @@
     }
 }
 
-// Guards against destinations that get nothing: a hundred nodes see one request each, and all of them start with the
+// Guards against destinations that get nothing when a hundred nodes see one request each and all of them start with the
 // destination of the largest weight.
 TEST_CASE("nodes start with different destinations")
 {
