--- a/src/core/bootclock.h
+++ b/src/core/bootclock.h
@@ -5,10 +5,10 @@
 namespace Egretpath
 {
 
-/// The time since the VM started, the time for which it was suspended included.
+/// Returns the time since the VM started, including any time during which the VM was suspended.
 ///
-/// Only differences mean anything. The monotonic clock stands still while a VM is suspended, so that a process that
-/// wakes would take old requests for fresh ones. Thread safety: safe. Errors: none.
+/// Only differences between two values are meaningful. The monotonic clock stops while a VM is suspended: a process
+/// that uses it takes old requests for new ones when the VM resumes. Thread safety: safe. Errors: none.
 [[nodiscard]] Microseconds timeSinceBoot();
 
 }
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -5,11 +5,11 @@
 namespace Egretpath
 {
 
-/// Monotonic time of this process. The decision libraries never read a clock; their callers pass it in.
+/// Monotonic time of this process. The decision libraries never read a clock; their callers pass the time in.
 using TimePoint = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-/// Wall clock time. Only idempotency keys use it, because they travel between processes.
+/// Wall clock time. Only idempotency keys use it, because they are passed between processes.
 using WallTime = std::chrono::system_clock::time_point;
 
 using Milliseconds = std::chrono::milliseconds;
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr std::size_t HalfDigits = 16;
+constexpr std::size_t HexDigitsPerHalf = 16;
 
 bool parseHalf(std::string_view text, std::uint64_t &half)
 {
@@ -31,7 +31,7 @@
 
 std::string toHex(const Digest &digest)
 {
-    char text[2 * HalfDigits + 1];
+    char text[2 * HexDigitsPerHalf + 1];
     std::snprintf(text, sizeof text, "%016llx%016llx", static_cast<unsigned long long>(digest.high),
                   static_cast<unsigned long long>(digest.low));
     return text;
@@ -39,14 +39,15 @@
 
 bool fromHex(std::string_view text, Digest &digest)
 {
-    if (text.size() != 2 * HalfDigits) {
+    if (text.size() != 2 * HexDigitsPerHalf) {
         return false;
     }
-    Digest read;
-    if (!parseHalf(text.substr(0, HalfDigits), read.high) || !parseHalf(text.substr(HalfDigits), read.low)) {
+    Digest parsed;
+    if (!parseHalf(text.substr(0, HexDigitsPerHalf), parsed.high)
+        || !parseHalf(text.substr(HexDigitsPerHalf), parsed.low)) {
         return false;
     }
-    digest = read;
+    digest = parsed;
     return true;
 }
 
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -8,7 +8,7 @@
 namespace Egretpath
 {
 
-/// A 128-bit content digest (XXH3). It finds differences; it is no defence against forgery.
+/// A 128-bit content digest (XXH3). It detects differences but does not protect against forgery.
 struct Digest
 {
     std::uint64_t high = 0;
@@ -17,17 +17,17 @@
     friend constexpr auto operator<=>(const Digest &, const Digest &) = default;
 };
 
-/// Digest of @p content. Thread safety: safe. Errors: none.
+/// Returns the digest of @p content. Thread safety: safe. Errors: none.
 [[nodiscard]] Digest digestOf(std::string_view content);
 
-/// 32 lower-case hexadecimal digits. Thread safety: safe. Errors: none.
+/// Returns @p digest as 32 lower-case hexadecimal digits. Thread safety: safe. Errors: none.
 [[nodiscard]] std::string toHex(const Digest &digest);
 
-/// Reads what toHex() wrote. Returns false, leaving @p digest as it was, for anything else.
+/// Parses text written by toHex() into @p digest. Returns false and leaves @p digest unchanged for any other text.
 /// Thread safety: safe.
 [[nodiscard]] bool fromHex(std::string_view text, Digest &digest);
 
-/// 64-bit hash for rendezvous hashing; stable between processes and versions.
+/// Returns a 64-bit hash for rendezvous hashing. It is the same in all processes and versions.
 /// Thread safety: safe. Errors: none.
 [[nodiscard]] std::uint64_t stableHash(std::string_view content, std::uint64_t seed = 0);
 
--- a/src/core/identity.h
+++ b/src/core/identity.h
@@ -8,7 +8,7 @@
 namespace Egretpath
 {
 
-/// Where a VM stands.
+/// The region and availability zone of a VM.
 struct Location
 {
     RegionName region;
@@ -17,9 +17,9 @@
     friend auto operator<=>(const Location &, const Location &) = default;
 };
 
-/// Who a node is: the upstream it stands beside and this run of its process.
+/// Identifies a node: the upstream on its VM and one run of the node process.
 ///
-/// The incarnation is part of the identity, so that a replacement at the same address is another node.
+/// The incarnation is part of the identity, so that a replacement at the same address counts as another node.
 struct NodeIdentity
 {
     UpstreamName upstream;
@@ -28,27 +28,28 @@
     friend auto operator<=>(const NodeIdentity &, const NodeIdentity &) = default;
 };
 
-/// What an upstream was doing when its node measured it. Carried by answers, refusals and probes.
+/// The load of an upstream as its node measured it. Answers, refusals and probes carry it.
 struct LoadReport
 {
     std::uint32_t inFlight = 0;
     std::uint32_t queued = 0;
     std::uint32_t slots = 0;
-    /// Smoothed time from handing a call to the upstream to its whole answer, in microseconds.
+    /// Smoothed time from handing a call to the upstream until its complete answer, in microseconds.
     std::uint32_t serviceTimeMicroseconds = 0;
-    /// The upstream takes no new work.
+    /// Whether the upstream is draining and takes no new work.
     bool draining = false;
-    /// How long work takes on the VM at this moment, in percent of the usual; zero if unknown.
+    /// The time that work takes on the VM now, in percent of the baseline; zero if unknown.
     std::uint16_t slowdownPercent = 0;
-    /// Until the VM's slow spell is expected to end, if requests wait for that here; else zero.
+    /// The expected time until the VM's slow period ends, in microseconds, if requests wait for that end here; else
+    /// zero.
     std::uint32_t slowPeriodLeftMicroseconds = 0;
-    /// The slowdown that is expected then, in percent; slowdownPercent while there is no slow period.
+    /// The slowdown expected after the slow period, in percent; equal to slowdownPercent if there is no slow period.
     std::uint16_t recoveredSlowdownPercent = 0;
-    /// Smoothed time for a call of any kind at the VM's usual pace, in microseconds; zero if unknown.
+    /// Smoothed time of a call, over all routes, at the VM's baseline speed, in microseconds; zero if unknown.
     std::uint32_t meanServiceMicroseconds = 0;
-    /// Smoothed time by which calls reach the node later than on a free link, in microseconds.
+    /// Smoothed delay of calls on their way to the node, compared with an idle link, in microseconds.
     std::uint32_t arrivalDelayMicroseconds = 0;
-    /// Failures among the upstream's latest answers, in percent.
+    /// Share of failures among the upstream's latest answers, in percent.
     std::uint8_t failurePercent = 0;
 };
 
--- a/src/core/linkprices.h
+++ b/src/core/linkprices.h
@@ -3,7 +3,9 @@
 namespace Egretpath
 {
 
-/// What a KiB costs that crosses a link, as a share of what an answer in time is worth to its caller. Operators set it.
+/// The price of sending one KiB over a link between zones or regions. Operators set it.
+///
+/// The unit is the value that an answer in time has for its caller: a price of 0.1 is a tenth of that value.
 struct LinkPrices
 {
     double zonePerKiB = 0.013;
--- a/src/core/strongtype.h
+++ b/src/core/strongtype.h
@@ -11,7 +11,7 @@
 namespace Egretpath
 {
 
-/// A value of type @p Value that cannot be mixed up with another of the same representation.
+/// A value of type @p Value that does not convert to other types with the same representation.
 ///
 /// Preconditions: none. Thread safety: as @p Value. Errors: none.
 template<typename Tag, typename Value>
@@ -26,7 +26,7 @@
     {
     }
 
-    /// The wrapped value. Thread safety: as a const access to @p Value.
+    /// Returns the wrapped value. Thread safety: as a const access to @p Value.
     [[nodiscard]] constexpr const Value &value() const { return value_; }
 
     friend constexpr auto operator<=>(const StrongType &, const StrongType &) = default;
@@ -39,25 +39,25 @@
 template<typename Tag>
 using Name = StrongType<Tag, std::string>;
 
-/// A service: the unit that callers address, for example "arrangements".
+/// A service, which is the unit that callers address, for example "arrangements".
 using ServiceName = Name<struct ServiceNameTag>;
-/// A region as the table names it, for example "northmere".
+/// A region, for example "northmere".
 using RegionName = Name<struct RegionNameTag>;
-/// An availability zone inside a region.
+/// An availability zone in a region.
 using ZoneName = Name<struct ZoneNameTag>;
-/// An upstream: one back end VM's slot. It outlives restarts and replacements of the VM.
+/// An upstream, which is one place for a back end VM. The name stays the same when the VM restarts or is replaced.
 using UpstreamName = Name<struct UpstreamNameTag>;
 /// An IP address and port in the form "127.0.0.1:8080".
 using Endpoint = Name<struct EndpointTag>;
-/// Identifies one call in logs and histories; chosen at the ingress.
+/// Identifies one call in logs and histories. The ingress assigns it.
 using RequestId = Name<struct RequestIdTag>;
 
-/// One run of one node process. A restarted or replaced node at the same address has another one.
-/// Drawn at random at start, so that it needs no clock and no disk. Zero means "unknown".
+/// Identifies one run of a node process. A restarted or replaced node at the same address has another incarnation.
+/// It is a random number chosen at start, so that it needs neither a clock nor a disk. Zero means "unknown".
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
-/// The number that operators give a table; larger is newer.
+/// The number that operators give a route table; a larger number is newer.
 using TableNumber = StrongType<struct TableNumberTag, std::uint64_t>;
-/// A count of bytes.
+/// A number of bytes.
 using Bytes = StrongType<struct BytesTag, std::uint64_t>;
 
 }
--- a/src/core/systemseed.h
+++ b/src/core/systemseed.h
@@ -7,11 +7,11 @@
 namespace Egretpath
 {
 
-/// A seed from the system's own source of randomness. Thread safety: safe. Errors: none.
+/// Returns a seed from the operating system's source of randomness. Thread safety: safe. Errors: none.
 [[nodiscard]] std::uint64_t systemSeed();
 
-/// An incarnation for this run of the process, never zero. Never from the seed of the settings: two runs with the same
-/// seed are still two incarnations. Thread safety: safe. Errors: none.
+/// Returns a random incarnation for this run of the process, never zero. It does not depend on the seed in the
+/// settings: two runs with the same seed have two different incarnations. Thread safety: safe. Errors: none.
 [[nodiscard]] Incarnation drawIncarnation();
 
 }
--- a/src/ingress/callerpatience.cpp
+++ b/src/ingress/callerpatience.cpp
@@ -8,12 +8,13 @@
 namespace
 {
 
-/// Weight that a count keeps with each further request: about the last fifty count.
-constexpr double Fading = 0.98;
-/// Values told apart for a route; the rarest is forgotten first, so that callers can't fill the memory.
-constexpr std::size_t ValuesCap = 24;
-/// A patience counts as the usual one when it was seen so often; before, nobody is taken for one that came back.
-constexpr double LeastCount = 2.0;
+/// The factor by which each request reduces the earlier counts. About the last fifty requests count.
+constexpr double CountDecay = 0.98;
+/// The number of different values stored for a route. The rarest value is removed first. Without the limit callers
+/// could fill the memory with different values.
+constexpr std::size_t MaxValues = 24;
+/// A patience counts as typical only with at least this count. Until then every request counts as a first attempt.
+constexpr double MinCount = 2.0;
 
 }
 
@@ -21,24 +22,24 @@
 {
     Counts &counts = routes_[route];
     for (auto &[value, count] : counts) {
-        count *= Fading;
+        count *= CountDecay;
     }
     counts[patience] += 1.0;
-    if (counts.size() > ValuesCap) {
+    if (counts.size() > MaxValues) {
         counts.erase(std::min_element(counts.begin(), counts.end(),
                                       [](const auto &left, const auto &right) { return left.second < right.second; }));
     }
-    return std::max(usual(route) - patience, Milliseconds{0});
+    return std::max(typical(route) - patience, Milliseconds{0});
 }
 
-Milliseconds CallerPatience::usual(const RouteName &route) const
+Milliseconds CallerPatience::typical(const RouteName &route) const
 {
     const auto found = routes_.find(route);
     if (found == routes_.end()) {
         return Milliseconds{0};
     }
-    const auto most = mostFrequent(found->second);
-    return most == found->second.end() || most->second < LeastCount ? Milliseconds{0} : most->first;
+    const auto entry = mostFrequent(found->second);
+    return entry == found->second.end() || entry->second < MinCount ? Milliseconds{0} : entry->first;
 }
 
 CallerPatience::Counts::const_iterator CallerPatience::mostFrequent(const Counts &counts)
--- a/src/ingress/callerpatience.h
+++ b/src/ingress/callerpatience.h
@@ -9,24 +9,24 @@
 namespace Egretpath
 {
 
-/// Tells from how long a caller still waits how long it has been trying.
+/// Estimates how long a caller has been trying, from its patience: the time for which the caller still waits.
 ///
-/// Callers of one route begin with the same patience; one that comes back after a refusal brings what is left of it.
-/// Its target counts from its first attempt, so that it must not be taken for a fresh one, which can still be answered
-/// in time. Thread safety: none; one owner. Errors: none.
+/// Callers of one route start with the same patience. A caller that retries after a refusal sends what is left of its
+/// patience. The target latency counts from the first attempt, so a retry must not be treated like a first attempt,
+/// which can still be answered in time. Thread safety: none; one owner. Errors: none.
 class CallerPatience
 {
 public:
-    /// Records @p patience of a request of @p route. Returns how long its caller has been trying; zero if it seems to
-    /// be a first attempt or little is known.
+    /// Records the @p patience of a request of @p route. Returns how long its caller has been trying. Returns zero if
+    /// the request seems to be a first attempt or if there are too few earlier requests.
     [[nodiscard]] Milliseconds record(const RouteName &route, Milliseconds patience);
-    /// What most callers of @p route begin with; zero if none was seen.
-    [[nodiscard]] Milliseconds usual(const RouteName &route) const;
-    /// Forgets all, for when the routes change.
+    /// Returns the patience with which most callers of @p route start; zero if there are too few requests.
+    [[nodiscard]] Milliseconds typical(const RouteName &route) const;
+    /// Removes all records. Call it when the routes change.
     void clear() { routes_.clear(); }
 
 private:
-    /// How often each patience was seen lately.
+    /// For each patience, the decaying count of the requests that had it.
     using Counts = std::map<Milliseconds, double>;
 
     [[nodiscard]] static Counts::const_iterator mostFrequent(const Counts &counts);
--- a/src/ingress/ingresscontext.cpp
+++ b/src/ingress/ingresscontext.cpp
@@ -10,31 +10,32 @@
 namespace
 {
 
-/// Of the newest report in the usual time of a route; reports are means already.
+/// Weight of the newest report in the smoothed baseline time of a route. The times in reports are means already.
 constexpr double BaselineTimeGain = 0.1;
-/// How long nothing is sent to an upstream that leaves or has been replaced; the platform's list says more by then.
+/// How long no request is sent to an upstream that drains or was replaced. By then the platform's instance list shows
+/// the change.
 constexpr Milliseconds DrainingHold{1000};
-/// Share of its target that a route is taken to need before anything is known.
-constexpr double DefaultShareOfTarget = 0.3;
+/// The baseline time of a route without reports, as a share of its target latency.
+constexpr double DefaultBaselineShare = 0.3;
 
 }
 
-IngressContext::IngressContext(boost::asio::any_io_executor executorOfRole, IngressPlace ownPlace,
-                               IngressSources whatIsKnown, const CallerDialect &callers, EgressRole &ownEgress,
-                               PeerClient &otherNodes, EventLog &log, Metrics &metrics, Random generator,
+IngressContext::IngressContext(boost::asio::any_io_executor roleExecutor, IngressPlace thisNode,
+                               IngressSources roleSources, const CallerDialect &callerDialect, EgressRole &egressRole,
+                               PeerClient &peerClient, EventLog &log, Metrics &metrics, Random generator,
                                const IngressDecisions &decisions)
-    : executor(std::move(executorOfRole))
-    , place(std::move(ownPlace))
-    , sources(whatIsKnown)
-    , dialect(callers)
-    , egress(ownEgress)
-    , peers(otherNodes)
+    : executor(std::move(roleExecutor))
+    , localNode(std::move(thisNode))
+    , sources(roleSources)
+    , dialect(callerDialect)
+    , egress(egressRole)
+    , peers(peerClient)
     , settings(decisions.ingress)
     , requestLog(log, metrics)
     , random(generator)
     , split(random())
     , view(decisions.view)
-    , placement(place.location, view, Random(random()), decisions.placement)
+    , placement(localNode.location, view, Random(random()), decisions.placement)
 {
 }
 
@@ -42,7 +43,7 @@
 {
     const auto found = baselineMicroseconds_.find(route.name);
     if (found == baselineMicroseconds_.end()) {
-        return std::chrono::duration_cast<Duration>(route.targetLatency * DefaultShareOfTarget);
+        return std::chrono::duration_cast<Duration>(route.targetLatency * DefaultBaselineShare);
     }
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::micro>(found->second));
 }
@@ -53,20 +54,20 @@
         return;
     }
     const double sample = report.serviceTimeMicroseconds;
-    const auto [place, isNew] = baselineMicroseconds_.try_emplace(route, sample);
+    const auto [entry, isNew] = baselineMicroseconds_.try_emplace(route, sample);
     if (!isNew) {
-        place->second += BaselineTimeGain * (sample - place->second);
+        entry->second += BaselineTimeGain * (sample - entry->second);
     }
 }
 
-void IngressContext::learn(const RouteName &route, const UpstreamName &upstream, const Endpoint &node,
-                           const Result<CallOutcome> &outcome)
+void IngressContext::recordOutcome(const RouteName &route, const UpstreamName &upstream, const Endpoint &node,
+                                   const Result<CallOutcome> &outcome)
 {
     if (!outcome) {
-        learnFailure(upstream, outcome.error().reason);
+        recordFailure(upstream, outcome.error().reason);
         return;
     }
-    if (node != place.node && outcomeListener) {
+    if (node != localNode.endpoint && outcomeListener) {
         outcomeListener(node, outcome.value());
     }
     if (const auto &report = outcome.value().report) {
@@ -81,20 +82,20 @@
         sizes.record(route, Bytes(answer->body.size()));
     }
     if (const auto *failure = std::get_if<Failure>(&outcome.value().result)) {
-        learnFailure(upstream, failure->reason);
+        recordFailure(upstream, failure->reason);
     }
 }
 
-void IngressContext::learnFailure(const UpstreamName &upstream, Reason reason)
+void IngressContext::recordFailure(const UpstreamName &upstream, Reason reason)
 {
-    const TimePoint at = currentTime();
+    const TimePoint now = currentTime();
     switch (reason) {
     case Reason::ConnectFailed:
-        view.onUnreachable(upstream, at);
+        view.onUnreachable(upstream, now);
         break;
     case Reason::WrongIncarnation:
     case Reason::NoUpstream:
-        view.onDraining(upstream, DrainingHold, at);
+        view.onDraining(upstream, DrainingHold, now);
         break;
     case Reason::Declined:
     case Reason::Overloaded:
@@ -103,7 +104,7 @@
     case Reason::CrashesUpstreams:
         break;
     default:
-        view.onFailed(upstream, at);
+        view.onFailed(upstream, now);
         break;
     }
 }
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -26,18 +26,18 @@
 namespace Egretpath
 {
 
-/// Who and where this node is.
+/// The identity and location of this node.
 struct IngressPlace
 {
     NodeIdentity self;
     Location location;
-    /// The service of the upstream beside this node; requests from this VM are told to come from it.
+    /// The service of the upstream beside this node. Requests from this VM carry it as their calling service.
     ServiceName service;
-    /// Where this node listens for other nodes; requests for the upstream beside it need no connection.
-    Endpoint node;
+    /// The address at which this node listens for other nodes. Requests for the upstream beside it need no connection.
+    Endpoint endpoint;
 };
 
-/// What the ingress role reads and never writes.
+/// The data that the ingress role reads and never writes.
 struct IngressSources
 {
     const RouteTablePointer &routes;
@@ -45,7 +45,7 @@
     const Quarantine &quarantine;
 };
 
-/// What the ingress role decides with.
+/// The constants of the ingress role's decisions.
 struct IngressDecisions
 {
     IngressSettings ingress;
@@ -53,23 +53,23 @@
     PlacementViewSettings view;
 };
 
-/// What all requests of one ingress role share: what it knows, what it decides with, and whom it calls.
+/// The state that all requests of one ingress role share: its data, its decisions, and the roles and clients it calls.
 ///
-/// Thread safety: none. Precondition: references are valid for as long as a request runs.
+/// Thread safety: none. Precondition: the references stay valid while a request runs.
 struct IngressContext
 {
-    IngressContext(boost::asio::any_io_executor executorOfRole, IngressPlace ownPlace, IngressSources whatIsKnown,
-                   const CallerDialect &callers, EgressRole &ownEgress, PeerClient &otherNodes, EventLog &log,
+    IngressContext(boost::asio::any_io_executor roleExecutor, IngressPlace thisNode, IngressSources roleSources,
+                   const CallerDialect &callerDialect, EgressRole &egressRole, PeerClient &peerClient, EventLog &log,
                    Metrics &metrics, Random generator, const IngressDecisions &decisions);
 
-    /// What a request of @p route takes when nothing is in the way.
+    /// Returns the time that a request of @p route takes without queueing or slowdown.
     [[nodiscard]] Duration baselineTime(const Route &route) const;
-    /// Takes what the end of a try at @p upstream, sent to the node at @p node, tells of both.
-    void learn(const RouteName &route, const UpstreamName &upstream, const Endpoint &node,
-               const Result<CallOutcome> &outcome);
+    /// Records what @p outcome, the end of a try at @p upstream sent to the node at @p node, shows about both.
+    void recordOutcome(const RouteName &route, const UpstreamName &upstream, const Endpoint &node,
+                       const Result<CallOutcome> &outcome);
 
     boost::asio::any_io_executor executor;
-    IngressPlace place;
+    IngressPlace localNode;
     IngressSources sources;
     const CallerDialect &dialect;
     EgressRole &egress;
@@ -91,7 +91,7 @@
 
 private:
     void recordBaselineTime(const RouteName &route, const LoadReport &report);
-    void learnFailure(const UpstreamName &upstream, Reason reason);
+    void recordFailure(const UpstreamName &upstream, Reason reason);
 
     std::unordered_map<RouteName, double> baselineMicroseconds_;
 };
--- a/src/ingress/ingressrole.cpp
+++ b/src/ingress/ingressrole.cpp
@@ -13,18 +13,18 @@
 namespace
 {
 
-/// What a repeat costs. A node that may save up less could never send one.
-constexpr double OneRepeat = 1.0;
+/// The tokens that a retry costs. A node that may save up fewer tokens could never send a retry.
+constexpr double RetryCost = 1.0;
 
 }
 
-IngressRole::IngressRole(asio::any_io_executor executor, IngressPlace place, IngressSources sources,
+IngressRole::IngressRole(asio::any_io_executor executor, IngressPlace localNode, IngressSources sources,
                          const CallerDialect &dialect, EgressRole &egress, PeerClient &peers, EventLog &log,
                          Metrics &metrics, Random random, const IngressDecisions &decisions)
-    : context_(std::make_shared<IngressContext>(std::move(executor), std::move(place), sources, dialect, egress, peers,
-                                                log, metrics, random, decisions))
+    : context_(std::make_shared<IngressContext>(std::move(executor), std::move(localNode), sources, dialect, egress,
+                                                peers, log, metrics, random, decisions))
 {
-    shareRepeatLimits();
+    updateRetryBudget();
 }
 
 IngressRole::~IngressRole() = default;
@@ -35,29 +35,30 @@
     co_await request->run();
 }
 
-void IngressRole::setRepeatLimits(const RepeatLimits &limits)
+void IngressRole::setRepeatLimits(const RetryLimits &limits)
 {
-    repeatLimits_ = limits;
-    shareRepeatLimits();
+    retryLimits_ = limits;
+    updateRetryBudget();
 }
 
 void IngressRole::catalogChanged()
 {
     context_->split.clear();
     context_->patience.clear();
-    shareRepeatLimits();
+    updateRetryBudget();
 }
 
-/// The nodes keep a limit that they share without talking: each spends a share of its own requests, and of the slack
-/// what falls to one of as many nodes as there are upstreams.
-void IngressRole::shareRepeatLimits()
+/// All nodes share one retry limit, and keep it without exchanging messages. Each node may send retries
+/// for a share of its own requests, plus the slack divided by the number of nodes. The number of listed upstreams is
+/// taken as the number of nodes.
+void IngressRole::updateRetryBudget()
 {
-    const double used = context_->settings.repeatsUsed;
-    const double nodes = std::max<double>(1.0, static_cast<double>(context_->sources.directory.size()));
+    const double usedShare = context_->settings.repeatsUsed;
+    const double nodeCount = std::max<double>(1.0, static_cast<double>(context_->sources.directory.size()));
     RetryBudgetSettings settings;
-    settings.share = repeatLimits_.ratio * used;
-    settings.serviceBurst = std::max(OneRepeat, repeatLimits_.slack * used / nodes);
-    // The limit is one for each service; a limit of the node beside it would only waste it.
+    settings.share = retryLimits_.ratio * usedShare;
+    settings.serviceBurst = std::max(RetryCost, retryLimits_.slack * usedShare / nodeCount);
+    // The limit applies to each service. An additional limit for the node would only leave a part of it unused.
     settings.nodeBurst = 1e9;
     context_->budget.setSettings(settings);
 }
--- a/src/ingress/ingresssettings.h
+++ b/src/ingress/ingresssettings.h
@@ -9,21 +9,22 @@
 /// Constants of the ingress role's decisions.
 struct IngressSettings
 {
-    /// How often a request may be declined before an upstream has to take it: each question costs a crossing, and the
-    /// answers of three upstreams are news of most of what is near.
+    /// How often a request may be declined before an upstream has to take it. Each query costs a round trip over a
+    /// link, and the answers of three upstreams show the load of most nearby upstreams.
     std::uint32_t maxQueries = 3;
-    /// A node declines only when the alternative is better by this factor, so that equals don't pass requests around.
+    /// A node declines a request only if another upstream is better by this factor. Otherwise equally loaded upstreams
+    /// would pass requests around.
     double declineMargin = 1.1;
-    /// A larger body is sent only to a node that said it would take the request: bodies that are declined take up links
-    /// of little bandwidth, on which short calls then wait.
+    /// A larger body is sent only after the node accepted the request in a dry run. Bodies of declined requests occupy
+    /// links of low bandwidth, and short calls then wait for them.
     std::size_t bodyToAskFor = std::size_t{12} * 1024;
-    /// Callers that wait at most this many times the target depend on the answer for their own work, and fail without
-    /// it.
+    /// Callers whose patience is at most this many times the target latency count as dependent on the answer: they need
+    /// it for their own work and fail without it.
     int patienceOfDependents = 3;
-    /// Return times are spread by up to this share of them, so that callers refused together don't return together.
+    /// Retry delays are increased at random by up to this share, so that callers refused together don't retry together.
     double retryAfterSpread = 1.0;
-    /// The part of the shared allowance of repeats that nodes use: nodes that join and leave make each other's share
-    /// uncertain, and requests that an upstream sends for a repeated request count as repeats as well.
+    /// The share of the common retry limit that nodes use. Nodes that join and leave make the share of each node
+    /// uncertain, and requests that an upstream sends on behalf of a retried request count as retries too.
     double repeatsUsed = 0.7;
 };
 
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -16,11 +16,11 @@
 namespace
 {
 
-/// Sendings of one request in all, declined ones included: more than any service has near candidates.
-constexpr std::uint32_t SendingsCap = 64;
+/// The maximum number of tries of one request, including declined ones. No service has as many nearby candidates.
+constexpr std::uint32_t MaxTries = 64;
 
-/// For the log: an upstream's own answer.
-Failure answeredBy(std::string detail, Reason reason)
+/// Describes an answer of an upstream for the log.
+Failure describeAnswer(std::string detail, Reason reason)
 {
     return {Verdict::Answered, reason, Milliseconds{0}, std::move(detail)};
 }
@@ -32,8 +32,8 @@
     , exchange_(exchange)
     , wakeUp_(context_->executor)
 {
-    terms_.routes = context_->sources.routes;
-    terms_.arrival = currentTime();
+    parameters_.routes = context_->sources.routes;
+    parameters_.arrival = currentTime();
     ++context_->openRequests;
 }
 
@@ -51,7 +51,7 @@
     }
     exchange_.onCallerDisconnected([weak = weak_from_this()] {
         if (const auto request = weak.lock()) {
-            request->callerDisconnected_ = true;
+            request->isCallerDisconnected_ = true;
             request->wakeUp_.cancel();
         }
     });
@@ -62,21 +62,21 @@
 
 asio::awaitable<std::optional<Failure>> ProxiedRequest::prepare()
 {
-    if (auto failure = readTerms(*context_, exchange_.head(), terms_)) {
+    if (auto failure = readParameters(*context_, exchange_.head(), parameters_)) {
         co_return failure;
     }
     std::string body;
     if (auto failure = co_await readBody(body)) {
         co_return failure;
     }
-    if (terms_.route->kind != RequestKind::Safe) {
+    if (parameters_.route->kind != RequestKind::Safe) {
         co_await exchange_.waitForTurn();
     }
     if (exchange_.callerDisconnected()) {
         co_return notRun(Reason::Cancelled, "the caller went away");
     }
-    // The body or the answers before it may have taken long.
-    if (auto failure = stopRefusal(*context_, terms_)) {
+    // Reading the body, or waiting for the answers to earlier requests, may have taken long.
+    if (auto failure = stopRefusal(*context_, parameters_)) {
         co_return failure;
     }
     makeTries(std::move(body));
@@ -99,17 +99,17 @@
 
 void ProxiedRequest::makeTries(std::string body)
 {
-    service_ = context_->split.next(*terms_.route);
-    const bool safe = terms_.route->kind == RequestKind::Safe;
-    const IngressCallId id{context_->place.self.incarnation, CallSequence(++context_->lastSequence)};
-    CallState state(id, safe ? Repetition::Repeatable : Repetition::Once, SendingsCap, terms_.deadline);
+    service_ = context_->split.next(*parameters_.route);
+    const bool safe = parameters_.route->kind == RequestKind::Safe;
+    const IngressCallId id{context_->localNode.self.incarnation, CallSequence(++context_->lastSequence)};
+    CallState state(id, safe ? Repetition::Repeatable : Repetition::Once, MaxTries, parameters_.deadline);
     TryContent content;
     content.service = service_;
     content.body = std::move(body);
     content.makeReceiver = [weak = weak_from_this()](TryNumber number) {
         return std::make_shared<StreamedAnswerRelay>(weak, number);
     };
-    tries_ = std::make_shared<RequestTries>(context_, terms_, std::move(content), std::move(state),
+    tries_ = std::make_shared<RequestTries>(context_, parameters_, std::move(content), std::move(state),
                                             [weak = weak_from_this()] {
                                                 if (const auto request = weak.lock()) {
                                                     request->wakeUp_.cancel();
@@ -120,110 +120,113 @@
 asio::awaitable<void> ProxiedRequest::tryUntilEnded()
 {
     while (true) {
-        if (callerDisconnected_) {
+        if (isCallerDisconnected_) {
             recordCallerDisconnected();
             co_return;
         }
-        if (tries_->anyEnded()) {
-            if (co_await evaluate(tries_->takeEnded())) {
+        if (tries_->hasEndedTry()) {
+            if (co_await handleTryEnd(tries_->takeEndedTry())) {
                 co_return;
             }
             continue;
         }
-        if (currentTime() >= terms_.deadline) {
+        if (currentTime() >= parameters_.deadline) {
             co_await giveUp(notRun(Reason::DeadlinePassed, "no answer before the timeout"));
             co_return;
         }
-        if (!tries_->anyUnderWay()) {
+        if (!tries_->hasRunningTry()) {
             if (auto failure = tries_->start(exchange_.head(), exchange_.remoteEndpoint())) {
                 co_await giveUp(std::move(*failure));
                 co_return;
             }
         }
-        co_await waitForTry();
+        co_await waitForTryEnd();
     }
 }
 
 void ProxiedRequest::recordCallerDisconnected()
 {
-    // Ended, so that no answer that still comes is written to the exchange, which is gone as well.
-    [[maybe_unused]] const auto nobody = tries_->state().giveUp(Reason::Cancelled);
+    // This ends the call, so that no later answer is written to the exchange, which no longer exists.
+    [[maybe_unused]] const auto ignored = tries_->state().giveUp(Reason::Cancelled);
     logEnd(0, mayHaveRun(Reason::Cancelled, "the caller went away"));
 }
 
-asio::awaitable<void> ProxiedRequest::waitForTry()
+asio::awaitable<void> ProxiedRequest::waitForTryEnd()
 {
-    if (tries_->anyEnded() || callerDisconnected_) {
+    if (tries_->hasEndedTry() || isCallerDisconnected_) {
         co_return;
     }
-    wakeUp_.expires_at(terms_.deadline);
+    wakeUp_.expires_at(parameters_.deadline);
     boost::system::error_code ignored;
     co_await wakeUp_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-asio::awaitable<bool> ProxiedRequest::evaluate(TryEnd ended)
+asio::awaitable<bool> ProxiedRequest::handleTryEnd(TryEnd ended)
 {
-    const RequestTry &which = *ended.which;
-    if (streamed_) {
-        endStreamed(ended);
+    const RequestTry &requestTry = *ended.requestTry;
+    if (isStreamed_) {
+        finishStreamedAnswer(ended);
         co_return true;
     }
     const Failure *failure = ended.failure();
-    if (failure == nullptr && !tries_->mayReplace(ended.outcome.value())) {
-        co_await deliver(which, std::move(ended.outcome).value());
+    if (failure == nullptr && !tries_->mayRetryAfter(ended.outcome.value())) {
+        co_await deliver(requestTry, std::move(ended.outcome).value());
         co_return true;
     }
-    const Failure shown = failure != nullptr ? *failure : mayHaveRun(Reason::BadAnswer, "the upstream failed it");
-    const NextStep step = tries_->noteFailed(which, shown);
-    if (step == NextStep::MayTryAgain && tries_->mayRepeat(which, shown)) {
+    const Failure countedFailure =
+        failure != nullptr ? *failure : mayHaveRun(Reason::BadAnswer, "the upstream failed it");
+    const NextStep step = tries_->recordFailure(requestTry, countedFailure);
+    if (step == NextStep::MayTryAgain && tries_->mayRetry(requestTry, countedFailure)) {
         co_return false;
     }
     if (failure == nullptr) {
-        co_await deliver(which, std::move(ended.outcome).value());
+        co_await deliver(requestTry, std::move(ended.outcome).value());
         co_return true;
     }
     if (step == NextStep::Ignore || step == NextStep::Wait) {
         co_return false;
     }
-    co_await giveUp(shown);
+    co_await giveUp(countedFailure);
     co_return true;
 }
 
-void ProxiedRequest::endStreamed(const TryEnd &ended)
+void ProxiedRequest::finishStreamedAnswer(const TryEnd &ended)
 {
-    const bool whole = ended.outcome && std::holds_alternative<StreamedAnswer>(ended.outcome.value().result);
-    if (!whole) {
-        // A part of the answer is with the caller; only a dropped connection tells that the rest is missing.
+    const bool isComplete = ended.outcome && std::holds_alternative<StreamedAnswer>(ended.outcome.value().result);
+    if (!isComplete) {
+        // The caller has received a part of the answer. Only closing the connection shows that the rest is missing.
         exchange_.abort();
     }
-    context_->stop.recordAnswer(terms_.route->name, currentTime() - terms_.arrival);
-    logEnd(0, answeredBy("sent in pieces", whole ? Reason::None : Reason::BadAnswer));
+    context_->stop.recordAnswer(parameters_.route->name, currentTime() - parameters_.arrival);
+    logEnd(0, describeAnswer("sent in pieces", isComplete ? Reason::None : Reason::BadAnswer));
 }
 
-asio::awaitable<void> ProxiedRequest::deliver(const RequestTry &which, CallOutcome outcome)
+asio::awaitable<void> ProxiedRequest::deliver(const RequestTry &requestTry, CallOutcome outcome)
 {
-    // After a failed try whose answer is delivered for want of a better one, the try has ended already.
-    [[maybe_unused]] const bool first = tries_->state().answered(which.number);
-    auto *whole = std::get_if<CompleteAnswer>(&outcome.result);
-    if (whole == nullptr) {
+    // The state has ended this try already if the answer counted as failed and is delivered because no retry is
+    // possible.
+    [[maybe_unused]] const bool first = tries_->state().answered(requestTry.number);
+    auto *complete = std::get_if<CompleteAnswer>(&outcome.result);
+    if (complete == nullptr) {
         co_return;
     }
-    HttpResponseHead head(whole->head.status);
-    head.headers = std::move(whole->head.headers);
-    context_->stop.recordAnswer(terms_.route->name, currentTime() - terms_.arrival);
-    logEnd(head.status, answeredBy(which.upstream.value(), Reason::None));
-    [[maybe_unused]] const Result<void> sent = co_await exchange_.respond(std::move(head), std::move(whole->body));
+    HttpResponseHead head(complete->head.status);
+    head.headers = std::move(complete->head.headers);
+    context_->stop.recordAnswer(parameters_.route->name, currentTime() - parameters_.arrival);
+    logEnd(head.status, describeAnswer(requestTry.upstream.value(), Reason::None));
+    [[maybe_unused]] const Result<void> sent = co_await exchange_.respond(std::move(head), std::move(complete->body));
 }
 
 asio::awaitable<void> ProxiedRequest::giveUp(Failure failure)
 {
-    // One that ends upstreams is not to come back within its caller's patience.
-    const bool isHopeless = failure.reason == Reason::CrashesUpstreams;
-    const Milliseconds back = isHopeless ? failure.retryAfter : retryDelay(*context_, terms_, failure.retryAfter);
-    const auto shown = tries_->state().giveUp(failure.reason, back, failure.detail);
-    if (shown) {
+    // A request that crashes upstreams must not be retried within its caller's patience, so its delay is not shortened.
+    const bool crashesUpstreams = failure.reason == Reason::CrashesUpstreams;
+    const Milliseconds retryAfter =
+        crashesUpstreams ? failure.retryAfter : retryDelay(*context_, parameters_, failure.retryAfter);
+    const auto reportedFailure = tries_->state().giveUp(failure.reason, retryAfter, failure.detail);
+    if (reportedFailure) {
         tries_->cancelAll();
-        co_await respond(*shown);
+        co_await respond(*reportedFailure);
     }
 }
 
@@ -233,26 +236,26 @@
         logEnd(0, failure);
         co_return;
     }
-    HttpResponseHead head = context_->dialect.refusal(failure, terms_.caller.request);
+    HttpResponseHead head = context_->dialect.refusal(failure, parameters_.caller.request);
     logEnd(head.status, failure);
     [[maybe_unused]] const Result<void> sent = co_await exchange_.respond(std::move(head), failure.detail + "\n");
 }
 
-void ProxiedRequest::logEnd(std::uint16_t status, const Failure &how)
+void ProxiedRequest::logEnd(std::uint16_t status, const Failure &result)
 {
     EndedRequest ended;
-    ended.request = terms_.caller.request;
-    ended.route = terms_.route;
+    ended.request = parameters_.caller.request;
+    ended.route = parameters_.route;
     ended.service = service_;
     ended.status = status;
-    ended.verdict = how.verdict;
-    ended.reason = how.reason;
-    ended.detail = how.detail;
-    ended.sent = tries_ ? tries_->sendings() : 0;
-    ended.reached = tries_ ? tries_->reached() : 0;
-    ended.took = currentTime() - terms_.arrival;
-    ended.routes = terms_.routes ? terms_.routes->version() : RouteVersion();
-    context_->requestLog.ended(ended);
+    ended.verdict = result.verdict;
+    ended.reason = result.reason;
+    ended.detail = result.detail;
+    ended.tryCount = tries_ ? tries_->tryCount() : 0;
+    ended.reachedCount = tries_ ? tries_->reachedCount() : 0;
+    ended.duration = currentTime() - parameters_.arrival;
+    ended.routesVersion = parameters_.routes ? parameters_.routes->version() : RouteVersion();
+    context_->requestLog.recordEnd(ended);
 }
 
 }
--- a/src/ingress/proxiedrequest.h
+++ b/src/ingress/proxiedrequest.h
@@ -9,16 +9,16 @@
 
 #include "http/httpexchange.h"
 #include "ingress/ingresscontext.h"
-#include "ingress/requestterms.h"
+#include "ingress/requestparameters.h"
 #include "ingress/requesttries.h"
 
 namespace Egretpath
 {
 
-/// One request of a caller, from its head to the one answer that the caller gets.
+/// One request of a caller, from its head to the single answer that the caller gets.
 ///
-/// RequestTries sends; one loop here decides what follows the end of each try. Not-run is said only if it is proved.
-/// Thread safety: none. Precondition: @p exchange outlives run().
+/// RequestTries sends the request. A loop in this class decides what follows the end of each try. The verdict not-run
+/// is given only if it is proved. Thread safety: none. Precondition: @p exchange outlives run().
 class ProxiedRequest : public std::enable_shared_from_this<ProxiedRequest>
 {
 public:
@@ -32,34 +32,34 @@
 private:
     friend class StreamedAnswerRelay;
 
-    /// Reads head and body. Returns why the request can't be sent, or nothing.
+    /// Reads the head and the body. Returns why the request can't be sent, or nothing.
     boost::asio::awaitable<std::optional<Failure>> prepare();
     boost::asio::awaitable<std::optional<Failure>> readBody(std::string &body);
     void makeTries(std::string body);
     boost::asio::awaitable<void> tryUntilEnded();
-    /// Returns whether the caller has its answer.
-    boost::asio::awaitable<bool> evaluate(TryEnd ended);
-    void endStreamed(const TryEnd &ended);
-    boost::asio::awaitable<void> waitForTry();
+    /// Delivers the answer, or decides whether another try follows. Returns whether the caller has its answer.
+    boost::asio::awaitable<bool> handleTryEnd(TryEnd ended);
+    void finishStreamedAnswer(const TryEnd &ended);
+    boost::asio::awaitable<void> waitForTryEnd();
     void recordCallerDisconnected();
 
-    boost::asio::awaitable<void> deliver(const RequestTry &which, CallOutcome outcome);
+    boost::asio::awaitable<void> deliver(const RequestTry &requestTry, CallOutcome outcome);
     boost::asio::awaitable<void> giveUp(Failure failure);
     boost::asio::awaitable<void> respond(Failure failure);
 
-    /// @p how: as a failure, or as an answer, whose detail names the upstream.
-    void logEnd(std::uint16_t status, const Failure &how);
+    /// @p result: a failure, or a description of the answer whose detail names the upstream.
+    void logEnd(std::uint16_t status, const Failure &result);
 
     std::shared_ptr<IngressContext> context_;
     HttpExchange &exchange_;
-    RequestTerms terms_;
+    RequestParameters parameters_;
     ServiceName service_;
-    /// Null until the request is read.
+    /// Null until the request was read.
     std::shared_ptr<RequestTries> tries_;
-    /// Wakes the loop at the deadline, or when it is cancelled.
+    /// Wakes the loop at the deadline, or earlier when the timer is cancelled.
     boost::asio::steady_timer wakeUp_;
-    bool callerDisconnected_ = false;
-    bool streamed_ = false;
+    bool isCallerDisconnected_ = false;
+    bool isStreamed_ = false;
 };
 
 }
--- a/src/ingress/requestlog.cpp
+++ b/src/ingress/requestlog.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-Milliseconds::rep milliseconds(Duration duration)
+Milliseconds::rep toMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<Milliseconds>(duration).count();
 }
 
 }
 
-void RequestLog::placed(const PlacedTry &item)
+void RequestLog::recordPlacement(const PlacedTry &item)
 {
     if (!log_.admitsDecision(currentTime(), DecisionWeight::Routine)) {
         return;
@@ -24,22 +24,22 @@
     line.add("request", item.request.value()).add("try", std::uint64_t{item.number});
     line.add("route", item.route.name.value()).add("service", item.service.value());
     line.add("from", item.caller.value()).add("kind", toString(item.route.kind));
-    line.add("priority", std::uint64_t{item.route.priority}).add("left_ms", milliseconds(item.left));
+    line.add("priority", std::uint64_t{item.route.priority}).add("left_ms", toMilliseconds(item.timeLeft));
     line.add("upstream", item.upstream.value()).add("link", toString(item.choice.link));
-    line.add("candidates", std::uint64_t{item.candidates}).add("expected_ms", milliseconds(item.choice.expected));
-    line.add("acceptable_ms", milliseconds(item.choice.declineThreshold));
-    line.add("routes", item.routes.value()).add("list", item.list.value());
+    line.add("candidates", std::uint64_t{item.candidates}).add("expected_ms", toMilliseconds(item.choice.expected));
+    line.add("acceptable_ms", toMilliseconds(item.choice.declineThreshold));
+    line.add("routes", item.routesVersion.value()).add("list", item.listRevision.value());
     log_.decision(line);
 }
 
-void RequestLog::ended(const EndedRequest &item)
+void RequestLog::recordEnd(const EndedRequest &item)
 {
     const std::string route = item.route == nullptr ? std::string() : item.route->name.value();
     std::string labels = "route=\"" + (route.empty() ? "none" : route);
     labels.append("\",verdict=\"").append(toString(item.verdict));
     labels.append("\",reason=\"").append(toString(item.reason)).append("\"");
     metrics_.count("egretpath_requests_total", labels);
-    metrics_.record("egretpath_request_seconds", "", item.took);
+    metrics_.record("egretpath_request_seconds", "", item.duration);
     const bool failed = item.reason != Reason::None;
     if (!log_.admitsDecision(currentTime(), failed ? DecisionWeight::Failure : DecisionWeight::Routine)) {
         return;
@@ -48,11 +48,11 @@
     line.add("request", item.request.value()).add("route", route);
     line.add("service", item.service.value()).add("status", std::uint64_t{item.status});
     line.add("verdict", toString(item.verdict)).add("reason", toString(item.reason)).add("detail", item.detail);
-    line.add("sent", std::uint64_t{item.sent}).add("reached", std::uint64_t{item.reached});
+    line.add("sent", std::uint64_t{item.tryCount}).add("reached", std::uint64_t{item.reachedCount});
     if (item.route != nullptr) {
         line.add("target_ms", item.route->targetLatency.count());
     }
-    line.add("took_ms", milliseconds(item.took)).add("routes", item.routes.value());
+    line.add("took_ms", toMilliseconds(item.duration)).add("routes", item.routesVersion.value());
     log_.decision(line);
 }
 
--- a/src/ingress/requestlog.h
+++ b/src/ingress/requestlog.h
@@ -15,7 +15,7 @@
 namespace Egretpath
 {
 
-/// A try that was placed, with what decided it.
+/// A try for which an upstream was chosen, and the values behind the choice.
 struct PlacedTry
 {
     RequestId request;
@@ -26,33 +26,33 @@
     UpstreamName upstream;
     PlacementChoice choice;
     std::size_t candidates = 0;
-    /// Until the request's deadline.
-    Duration left{0};
-    RouteVersion routes;
-    StoreRevision list;
+    /// Time until the request's deadline.
+    Duration timeLeft{0};
+    RouteVersion routesVersion;
+    StoreRevision listRevision;
 };
 
 /// How a request ended for its caller.
 struct EndedRequest
 {
     RequestId request;
-    /// Null if none took it.
+    /// Null if no route matched the request.
     const Route *route = nullptr;
     ServiceName service;
-    /// Zero: no answer was given.
+    /// Zero if no answer was given.
     std::uint16_t status = 0;
     Verdict verdict = Verdict::Answered;
     Reason reason = Reason::None;
     std::string detail;
-    /// Tries, declined ones included, and upstreams that may have got the request.
-    std::uint32_t sent = 0;
-    std::size_t reached = 0;
-    Duration took{0};
-    RouteVersion routes;
+    /// The number of tries, including declined ones, and of upstreams that may have got the request.
+    std::uint32_t tryCount = 0;
+    std::size_t reachedCount = 0;
+    Duration duration{0};
+    RouteVersion routesVersion;
 };
 
-/// Writes what became of the requests of callers: one line for each decision, counters and latencies.
-/// Thread safety: none. Precondition: log and metrics outlive it.
+/// Records the placement and the end of callers' requests as log lines, counters and latencies.
+/// Thread safety: none. Precondition: the log and the metrics outlive this object.
 class RequestLog
 {
 public:
@@ -62,8 +62,8 @@
     {
     }
 
-    void placed(const PlacedTry &item);
-    void ended(const EndedRequest &item);
+    void recordPlacement(const PlacedTry &item);
+    void recordEnd(const EndedRequest &item);
 
 private:
     EventLog &log_;
--- /dev/null
+++ b/src/ingress/requestparameters.cpp
@@ -0,0 +1,88 @@
+#include "ingress/requestparameters.h"
+
+#include <algorithm>
+#include <random>
+#include <utility>
+
+#include "core/currenttime.h"
+
+namespace Egretpath
+{
+
+namespace
+{
+
+/// The retry delay if no better value is known.
+constexpr Milliseconds DefaultRetryDelay{150};
+/// A process that ended is started again within about a second.
+constexpr Milliseconds RestartTime{1000};
+/// Callers honour a retry delay of up to a third of the time that they have left.
+constexpr int MaxRetryDelayDivisor = 3;
+/// The patience assumed for a caller that gives none, if no route is known whose timeout applies.
+constexpr Milliseconds DefaultPatience{1000};
+
+TimePoint findTargetTime(IngressContext &context, const RequestParameters &parameters)
+{
+    const Route &route = *parameters.route;
+    if (!parameters.caller.patience) {
+        return parameters.arrival + route.targetLatency;
+    }
+    const Milliseconds elapsed = context.patience.record(route.name, *parameters.caller.patience);
+    const Milliseconds typical = context.patience.typical(route.name);
+    if (typical.count() > 0 && typical <= route.targetLatency * context.settings.patienceOfDependents) {
+        // The caller fails soon after the target. A late answer is then worth no more than none, so only the deadline
+        // counts.
+        return parameters.deadline;
+    }
+    return parameters.arrival + route.targetLatency - elapsed;
+}
+
+}
+
+std::optional<Failure> readParameters(IngressContext &context, const HttpRequestHead &head,
+                                      RequestParameters &parameters)
+{
+    Result<CallerMetadata> caller = context.dialect.read(head.headers);
+    if (!caller) {
+        return caller.error();
+    }
+    parameters.caller = std::move(caller).value();
+    if (!parameters.routes) {
+        if (context.noRoutesListener) {
+            context.noRoutesListener();
+        }
+        const Milliseconds retryAfter = retryDelay(context, parameters, DefaultRetryDelay);
+        return notRun(Reason::NoTable, "no routes are in force yet", retryAfter);
+    }
+    parameters.route = parameters.routes->match(head.headers.find("Host").value_or(std::string_view()), head.target);
+    if (parameters.route == nullptr) {
+        return notRun(Reason::NoRoute, "no route takes this host and path");
+    }
+    const Milliseconds timeout = parameters.route->timeout;
+    parameters.deadline = parameters.arrival + std::min(parameters.caller.patience.value_or(timeout), timeout);
+    parameters.targetTime = findTargetTime(context, parameters);
+    return stopRefusal(context, parameters);
+}
+
+std::optional<Failure> stopRefusal(IngressContext &context, const RequestParameters &parameters)
+{
+    const TimePoint now = currentTime();
+    if (context.stop.takes(parameters.route->name, parameters.deadline, now)) {
+        return std::nullopt;
+    }
+    const auto retryAfter = std::chrono::ceil<Milliseconds>(context.stop.timeLeft(now)) + RestartTime;
+    return notRun(Reason::Draining, "the node may end before the answer", retryDelay(context, parameters, retryAfter));
+}
+
+Milliseconds retryDelay(IngressContext &context, const RequestParameters &parameters, Milliseconds preferred)
+{
+    const double base = static_cast<double>(preferred.count() > 0 ? preferred.count() : DefaultRetryDelay.count());
+    std::uniform_real_distribution<double> spread(1.0, 1.0 + context.settings.retryAfterSpread);
+    const Milliseconds timeout = parameters.route != nullptr ? parameters.route->timeout : DefaultPatience;
+    const Milliseconds patience = parameters.caller.patience.value_or(timeout);
+    const auto left = std::chrono::duration_cast<Milliseconds>(parameters.arrival + patience - currentTime());
+    const auto maxDelay = std::max(left / MaxRetryDelayDivisor, Milliseconds{1});
+    return std::min(Milliseconds(static_cast<Milliseconds::rep>(base * spread(context.random))), maxDelay);
+}
+
+}
--- /dev/null
+++ b/src/ingress/requestparameters.h
@@ -0,0 +1,43 @@
+#pragma once
+
+#include <optional>
+
+#include "core/clock.h"
+#include "core/verdict.h"
+#include "http/httphead.h"
+#include "ingress/ingresscontext.h"
+
+namespace Egretpath
+{
+
+/// The route and the time limits of a request, from its head and from the routes in force.
+struct RequestParameters
+{
+    CallerMetadata caller;
+    /// The routes in force when the request arrived; null if there were none.
+    RouteTablePointer routes;
+    /// The route that matches the request; null if none does.
+    const Route *route = nullptr;
+    TimePoint arrival;
+    TimePoint deadline;
+    /// An answer after this time is worth little to the caller.
+    TimePoint targetTime;
+
+    /// Whether the caller fails with a late answer just as without an answer.
+    [[nodiscard]] bool isUrgent() const { return targetTime == deadline; }
+};
+
+/// Reads @p head into @p parameters. Returns why the request is refused, or nothing. Preconditions: arrival and routes
+/// are set. Thread safety: none. Errors, all NotRun: BadRequest, NoTable, NoRoute, Draining.
+[[nodiscard]] std::optional<Failure> readParameters(IngressContext &context, const HttpRequestHead &head,
+                                                    RequestParameters &parameters);
+/// Returns why a stopping node refuses the request, or nothing if the node takes it. Precondition: readParameters()
+/// found a route. Thread safety: none.
+[[nodiscard]] std::optional<Failure> stopRefusal(IngressContext &context, const RequestParameters &parameters);
+/// Returns the delay after which a refused caller may retry. It is @p preferred, or a default if that is zero, plus a
+/// random part, so that callers refused together don't retry together. It is never so long that the caller gives up.
+/// Thread safety: none.
+[[nodiscard]] Milliseconds retryDelay(IngressContext &context, const RequestParameters &parameters,
+                                      Milliseconds preferred);
+
+}
--- a/src/ingress/streamedanswerrelay.cpp
+++ b/src/ingress/streamedanswerrelay.cpp
@@ -19,7 +19,7 @@
     if (!request || !request->tries_->state().answered(number_)) {
         co_return false;
     }
-    request->streamed_ = true;
+    request->isStreamed_ = true;
     HttpResponseHead response(head.status);
     response.headers = std::move(head.headers);
     const Result<void> begun = co_await request->exchange_.beginResponse(std::move(response), std::nullopt);
@@ -29,7 +29,7 @@
 asio::awaitable<bool> StreamedAnswerRelay::write(std::string chunk)
 {
     const auto request = request_.lock();
-    if (!request || !request->streamed_) {
+    if (!request || !request->isStreamed_) {
         co_return false;
     }
     const Result<void> written = co_await request->exchange_.writeBody(std::move(chunk));
@@ -39,7 +39,7 @@
 asio::awaitable<bool> StreamedAnswerRelay::end()
 {
     const auto request = request_.lock();
-    if (!request || !request->streamed_) {
+    if (!request || !request->isStreamed_) {
         co_return false;
     }
     const Result<void> ended = co_await request->exchange_.endResponse();
--- a/src/ingress/streamedanswerrelay.h
+++ b/src/ingress/streamedanswerrelay.h
@@ -7,7 +7,7 @@
 namespace Egretpath
 {
 
-/// Passes an answer that is too large for one message on to the caller, piece by piece. Thread safety: none.
+/// Relays an answer that is too large for one message to the caller, piece by piece. Thread safety: none.
 class StreamedAnswerRelay final : public AnswerReceiver
 {
 public:
--- a/tests/core/verdicttest.cpp
+++ b/tests/core/verdicttest.cpp
@@ -4,7 +4,7 @@
 
 using namespace Egretpath;
 
-TEST_CASE("each verdict has its own word and can be read back")
+TEST_CASE("each verdict can be parsed from its word, and an unknown word is rejected")
 {
     for (const Verdict verdict : {Verdict::Answered, Verdict::NotRun, Verdict::MayHaveRun}) {
         CHECK(verdictFromString(toString(verdict)) == verdict);
@@ -12,7 +12,7 @@
     CHECK_FALSE(verdictFromString("maybe").has_value());
 }
 
-TEST_CASE("the last reason has a word")
+TEST_CASE("a reason is written as its word")
 {
     CHECK(toString(Reason::TooLarge) == "too-large");
 }
--- a/tests/ingress/callerpatiencetest.cpp
+++ b/tests/ingress/callerpatiencetest.cpp
@@ -11,9 +11,9 @@
 
 }
 
-// A read is refused in a burst and comes back after a second. Taken for a fresh one it went before reads that could
-// still be answered in time, and both were late.
-TEST_CASE("a caller that came back is told from a first attempt by what is left of its patience")
+// Guards against retries that are treated like first attempts. A read is refused in a burst and retried after a second.
+// If it then went before reads that could still be answered in time, both would be late.
+TEST_CASE("a retry is recognized by the smaller patience that its caller has left")
 {
     CallerPatience patience;
     for (int count = 0; count < 10; ++count) {
@@ -21,12 +21,13 @@
     }
     CHECK(patience.record(Read, Milliseconds(1100)) == Milliseconds(900));
     CHECK(patience.record(Read, Milliseconds(2000)) == Milliseconds(0));
-    CHECK(patience.usual(Read) == Milliseconds(2000));
+    CHECK(patience.typical(Read) == Milliseconds(2000));
     CHECK(patience.record(RouteName("other"), Milliseconds(100)) == Milliseconds(0));
 }
 
-// One caller says that it waits for an hour. If the longest patience counted, all others would look old.
-TEST_CASE("a caller of unusual patience makes no others look old")
+// Guards against one caller that waits for an hour. If the longest patience were the typical one, all other requests
+// would count as retries.
+TEST_CASE("a single caller with a very long patience does not make other requests count as retries")
 {
     CallerPatience patience;
     for (int count = 0; count < 10; ++count) {
@@ -36,7 +37,7 @@
     CHECK(patience.record(Read, Milliseconds(2000)) == Milliseconds(0));
 }
 
-TEST_CASE("a patience that operators or callers changed is learned")
+TEST_CASE("the typical patience follows a change of the patience that callers send")
 {
     CallerPatience patience;
     for (int count = 0; count < 50; ++count) {
@@ -45,16 +46,16 @@
     for (int count = 0; count < 100; ++count) {
         (void)patience.record(Read, Milliseconds(500));
     }
-    CHECK(patience.usual(Read) == Milliseconds(500));
+    CHECK(patience.typical(Read) == Milliseconds(500));
     CHECK(patience.record(Read, Milliseconds(500)) == Milliseconds(0));
 }
 
-TEST_CASE("values without end take no memory without end, and hide the usual one no more than briefly")
+TEST_CASE("the typical patience is found among many different values that are seen once each")
 {
     CallerPatience patience;
     for (int count = 0; count < 2000; ++count) {
         (void)patience.record(Read, Milliseconds(10 + count));
         (void)patience.record(Read, Milliseconds(2500));
     }
-    CHECK(patience.usual(Read) == Milliseconds(2500));
+    CHECK(patience.typical(Read) == Milliseconds(2500));
 }
