--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -19,11 +19,12 @@
 namespace
 {
 
-constexpr Bytes ProbeAnswerLimit{4096};
-/// Of the newest call in the smoothed delay: about the last ten, some tenths of a second on a busy node.
+constexpr Bytes MaxProbeAnswer{4096};
+/// Weight of the newest call in the smoothed delay. About the last ten calls count, which is some tenths of a second on
+/// a busy node.
 constexpr double ArrivalDelayGain = 0.1;
-/// A call that was held up by a cut link says nothing of the next one.
-constexpr Milliseconds LongestDelay{500};
+/// Longer delays count as this one: a call that a cut link held up says nothing about the delay of the next call.
+constexpr Milliseconds MaxArrivalDelay{500};
 
 HttpPoolLimits poolLimits(const EgressSettings &settings)
 {
@@ -46,15 +47,15 @@
     , slots_(executor_, settings_.queue)
     , pool_(executor_, poolLimits(settings_))
     , quarantine_(quarantine)
-    , answers_(random())
+    , recentAnswers_(random())
     , exitMonitor_(
           executor_, pool_, settings_.upstream, random,
-          [this](UpstreamCrashId crash, const std::vector<HeldRequest> &held) { noteUpstreamEnd(crash, held); })
-    , probed_(executor_, asio::steady_timer::time_point::max())
+          [this](UpstreamCrashId crash, const std::vector<HeldRequest> &held) { reportUpstreamExit(crash, held); })
+    , probeFinished_(executor_, asio::steady_timer::time_point::max())
 {
-    slots_.onAwaitsNews([this] {
-        if (!std::exchange(watchingUpstream_, true)) {
-            asio::co_spawn(executor_, watchUpstream(), asio::detached);
+    slots_.onUpstreamUpdatesNeeded([this] {
+        if (!std::exchange(isProbingForWaiting_, true)) {
+            asio::co_spawn(executor_, probeForWaitingRequests(), asio::detached);
         }
     });
 }
@@ -74,7 +75,7 @@
     if (record != nullptr) {
         slots_.setSlots(record->slots);
     }
-    presence_.listed(record);
+    presence_.onListed(record);
     slots_.refuseWaiting([this](const UpstreamName &target) { return presence_.rejection(target); });
 }
 
@@ -94,66 +95,66 @@
 asio::awaitable<void> EgressRole::refreshSlowdown()
 {
     const TimePoint now = currentTime();
-    if (now - slowdownTime_ < settings_.slowdownMaxAge) {
+    if (now - slowdownUpdatedAt_ < settings_.slowdownMaxAge) {
         co_return;
     }
     startProbe();
-    asio::steady_timer limit(executor_, settings_.probeLimit);
-    limit.async_wait([this](const boost::system::error_code &error) {
+    asio::steady_timer probeWaitTimer(executor_, settings_.maxProbeWait);
+    probeWaitTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            probed_.cancel();
+            probeFinished_.cancel();
         }
     });
     boost::system::error_code ignored;
-    co_await probed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await probeFinished_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
 void EgressRole::startProbe()
 {
-    if (!std::exchange(probing_, true)) {
+    if (!std::exchange(isProbing_, true)) {
         asio::co_spawn(executor_, probe(), asio::detached);
     }
 }
 
-asio::awaitable<void> EgressRole::watchUpstream()
+asio::awaitable<void> EgressRole::probeForWaitingRequests()
 {
     asio::steady_timer timer(executor_);
-    while (slots_.awaitsNews(currentTime())) {
+    while (slots_.needsUpstreamUpdates(currentTime())) {
         startProbe();
         timer.expires_after(settings_.slowdownWatchInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    watchingUpstream_ = false;
+    isProbingForWaiting_ = false;
 }
 
-void EgressRole::noteOverdue()
+void EgressRole::recordOverdue()
 {
-    ++overdue_;
-    if (settings_.keepsAccount && !std::exchange(watchingOverdue_, true)) {
-        asio::co_spawn(executor_, watchOverdue(), asio::detached);
+    ++overdueCount_;
+    if (settings_.keepsAccount && !std::exchange(isProbingForOverdue_, true)) {
+        asio::co_spawn(executor_, probeForOverdueRequests(), asio::detached);
     }
 }
 
-asio::awaitable<void> EgressRole::watchOverdue()
+asio::awaitable<void> EgressRole::probeForOverdueRequests()
 {
     asio::steady_timer timer(executor_);
-    while (overdue_ > 0) {
+    while (overdueCount_ > 0) {
         startProbe();
         timer.expires_after(settings_.accountInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    watchingOverdue_ = false;
+    isProbingForOverdue_ = false;
 }
 
-void EgressRole::takeAccount(const UpstreamLoadSample &load)
+void EgressRole::updateAccount(const UpstreamLoadSample &load)
 {
     account_.reported(load.running + load.waiting, currentTime());
     slots_.setExternalRequests(account_.others());
     for (const CallId call : account_.lost()) {
-        const auto found = atUpstream_.find(call);
-        if (found != atUpstream_.end()) {
+        const auto found = requestsAtUpstream_.find(call);
+        if (found != requestsAtUpstream_.end()) {
             metrics_.count("egretpath_lost_at_upstream_total");
-            found->second->endBecause(
+            found->second->abort(
                 mayHaveRun(Reason::LostAtUpstream, "the upstream has it no longer and did not answer"));
         }
     }
@@ -161,7 +162,7 @@
 
 asio::awaitable<void> EgressRole::probe()
 {
-    // Much longer than its askers wait: the answer still tells the next ones.
+    // Much longer than the requests that started the probe wait for it: a late answer still helps later requests.
     const TimePoint deadline = currentTime() + Milliseconds(500);
     metrics_.count("egretpath_upstream_probes_total");
     auto opened = co_await pool_.open(settings_.upstream, deadline);
@@ -171,24 +172,24 @@
         account_.asked(currentTime());
         if (co_await call.sendRequest(head, std::string())) {
             const auto answer = co_await call.readHead();
-            const auto body = co_await call.readCompleteBody(ProbeAnswerLimit);
+            const auto body = co_await call.readCompleteBody(MaxProbeAnswer);
             if (answer && body) {
                 const UpstreamAnswerMetadata metadata = dialect_.read(answer.value());
-                take(metadata);
+                applyAnswerMetadata(metadata);
                 if (metadata.load && settings_.keepsAccount) {
-                    takeAccount(*metadata.load);
+                    updateAccount(*metadata.load);
                 }
             }
         }
     }
-    probing_ = false;
-    probed_.cancel();
+    isProbing_ = false;
+    probeFinished_.cancel();
 }
 
-void EgressRole::take(const UpstreamAnswerMetadata &metadata)
+void EgressRole::applyAnswerMetadata(const UpstreamAnswerMetadata &metadata)
 {
     if (!metadata.upstream.value().empty()) {
-        presence_.answered(metadata.upstream);
+        presence_.onAnswered(metadata.upstream);
     }
     if (!metadata.load) {
         return;
@@ -198,17 +199,17 @@
     }
     if (metadata.load->slowdownPercent > 0) {
         slots_.setSlowdown(metadata.load->slowdownPercent);
-        slowdownTime_ = currentTime();
+        slowdownUpdatedAt_ = currentTime();
     }
 }
 
 void EgressRole::recordArrival(Duration delay)
 {
-    const double sample = std::chrono::duration<double, std::micro>(std::min<Duration>(delay, LongestDelay)).count();
+    const double sample = std::chrono::duration<double, std::micro>(std::min<Duration>(delay, MaxArrivalDelay)).count();
     arrivalDelayMicroseconds_ += ArrivalDelayGain * (sample - arrivalDelayMicroseconds_);
 }
 
-void EgressRole::noteUpstreamEnd(UpstreamCrashId crash, const std::vector<HeldRequest> &held)
+void EgressRole::reportUpstreamExit(UpstreamCrashId crash, const std::vector<HeldRequest> &held)
 {
     metrics_.count("egretpath_upstream_crashes_total");
     for (const HeldRequest &item : held) {
@@ -228,14 +229,14 @@
 
 void EgressRole::quarantineChanged()
 {
-    for (const auto &[call, request] : waiting_) {
+    for (const auto &[call, request] : waitingRequests_) {
         if (auto rejection = request->quarantineRejection()) {
             slots_.refuse(call, std::move(*rejection));
         }
     }
-    for (const auto &[call, request] : atUpstream_) {
+    for (const auto &[call, request] : requestsAtUpstream_) {
         if (const auto rejection = request->quarantineRejection()) {
-            request->endBecause(mayHaveRun(rejection->reason, rejection->detail));
+            request->abort(mayHaveRun(rejection->reason, rejection->detail));
         }
     }
 }
--- a/src/egress/egressrole.h
+++ b/src/egress/egressrole.h
@@ -28,31 +28,33 @@
 
 class UpstreamRequest;
 
-/// Where the upstream is and how it is asked.
+/// The address of the upstream, and how the node probes it and queues requests for it.
 struct EgressSettings
 {
     Endpoint upstream;
     std::string healthPath = "/health";
-    /// What is known of the VM's pace is asked for again, before a request is taken, when it is older than this: a part
-    /// of the length of a slow spell.
+    /// Before a request is admitted, the upstream is probed if the known slowdown of the VM is older than this. The
+    /// limit is a part of the length of a slow period.
     Milliseconds slowdownMaxAge{60};
-    /// How long that question may take; work is taken on old knowledge after it.
-    Milliseconds probeLimit{12};
-    /// Between two such questions while a request waits for the VM's slow spell to end. They stay on the VM.
+    /// How long a request waits for that probe. After this time it is admitted with the old slowdown.
+    Milliseconds maxProbeWait{12};
+    /// The interval between two probes while a request waits for the VM's slow period to end. Probes do not leave the
+    /// VM.
     Milliseconds slowdownWatchInterval{20};
-    /// Between two questions while the upstream takes longer for a request than it should; see UpstreamAccount.
+    /// The interval between two probes while a request takes longer at the upstream than expected; see UpstreamAccount.
     Milliseconds accountInterval{150};
-    /// Requests that the upstream has lost end, and work there for others takes slots.
+    /// Whether the node uses UpstreamAccount: it ends requests that the upstream has lost, and requests at the upstream
+    /// that are not from this node take slots.
     bool keepsAccount = true;
     WorkQueueSettings queue;
-    /// Idle connections to the upstream are closed after this time. Upstreams close theirs after 5 s or more.
+    /// Idle connections to the upstream are closed after this time. Upstreams close idle connections after 5 s or more.
     Milliseconds idleTime{3000};
 };
 
-/// The egress role: the only way to the upstream beside this node.
+/// The egress role of a node. All requests for the upstream on this VM pass through it.
 ///
-/// Up to the moment at which a request is handed over every refusal is a proved not-run; from there on only a whole
-/// answer, or the upstream's word that it did not run the request, ends the doubt.
+/// Until a request is handed over to the upstream, every refusal proves that the request was not run. After that, only
+/// a complete answer, or a statement of the upstream that it did not run the request, settles whether the request ran.
 ///
 /// Preconditions: references outlive the role and its requests. Thread safety: none.
 class EgressRole
@@ -69,49 +71,49 @@
     boost::asio::awaitable<CallOutcome> call(CallHead head, std::string body, std::shared_ptr<AnswerReceiver> answer,
                                              std::shared_ptr<Cancellation> cancellation);
 
-    /// What the list says of the upstream's address; null if it names nobody there. Requests that wait for one that
-    /// leaves are refused.
+    /// Sets what the instance list says about the upstream's address; null if it lists no upstream there. Waiting
+    /// requests for an upstream that leaves are refused.
     void setListed(const InstanceRecord *record);
     void setHealthPath(std::string path) { settings_.healthPath = std::move(path); }
     void setConnectionCap(std::uint32_t cap);
-    /// Refuses new requests from now on, or no longer.
+    /// Starts or stops refusing new requests.
     void setDraining(bool draining) { draining_ = draining; }
-    /// Calls @p listener when the upstream has ended with requests under way; see UpstreamExitMonitor::Listener.
+    /// Calls @p listener when the upstream has exited while it had requests; see UpstreamExitMonitor::Listener.
     void onUpstreamExit(UpstreamExitMonitor::Listener listener) { upstreamExitListener_ = std::move(listener); }
-    /// Ends the requests, waiting or running, that are refused by now.
+    /// Ends all waiting and running requests that the quarantine now refuses.
     void quarantineChanged();
     [[nodiscard]] LoadReport report(const RouteName &route) const;
-    /// No request waits or runs here.
+    /// Whether no request waits or runs here.
     [[nodiscard]] bool isIdle() const { return slots_.queue().isIdle(); }
 
 private:
     friend class UpstreamRequest;
 
-    /// Exists as long as the role.
-    struct Life
+    /// Exists as long as the role, so that requests can detect that the role was destroyed.
+    struct LifetimeToken
     {
     };
 
     [[nodiscard]] CallId nextCallId() { return CallId(++lastCallId_); }
-    /// Asks the upstream for its pace when what is known is old; returns after a short time in any case.
+    /// Probes the upstream if the known slowdown is old. Returns after at most settings_.maxProbeWait.
     boost::asio::awaitable<void> refreshSlowdown();
     boost::asio::awaitable<void> probe();
     void startProbe();
-    /// Asks again and again while a request waits for what only news of the upstream can end.
-    boost::asio::awaitable<void> watchUpstream();
-    /// Asks again and again while a request takes too long, to find those that the upstream has lost.
-    boost::asio::awaitable<void> watchOverdue();
-    void noteOverdue();
-    void takeAccount(const UpstreamLoadSample &load);
-    void take(const UpstreamAnswerMetadata &metadata);
+    /// Probes repeatedly while a request waits for a change that only a probe can show.
+    boost::asio::awaitable<void> probeForWaitingRequests();
+    /// Probes repeatedly while a request is overdue, to find requests that the upstream has lost.
+    boost::asio::awaitable<void> probeForOverdueRequests();
+    void recordOverdue();
+    void updateAccount(const UpstreamLoadSample &load);
+    void applyAnswerMetadata(const UpstreamAnswerMetadata &metadata);
     void recordArrival(Duration delay);
-    /// The upstream has ended, with these requests under way.
-    void noteUpstreamEnd(UpstreamCrashId crash, const std::vector<HeldRequest> &held);
+    /// Logs the requests that the upstream held when it exited, and informs the listener.
+    void reportUpstreamExit(UpstreamCrashId crash, const std::vector<HeldRequest> &held);
     void recordAnswer(bool failed);
-    /// Tells the queue how much of the evidence of failures is left.
+    /// Passes the present share of failures to the queue; the share decays with time.
     void recordHealth();
 
-    std::shared_ptr<const Life> life_ = std::make_shared<Life>();
+    std::shared_ptr<const LifetimeToken> lifetimeToken_ = std::make_shared<LifetimeToken>();
     boost::asio::any_io_executor executor_;
     EgressSettings settings_;
     NodeIdentity self_;
@@ -121,28 +123,28 @@
     WorkSlots slots_;
     HttpConnectionPool pool_;
     const Quarantine &quarantine_;
-    RecentAnswers answers_;
+    RecentAnswers recentAnswers_;
     UpstreamExitMonitor exitMonitor_;
     UpstreamExitMonitor::Listener upstreamExitListener_;
-    LatenessGuard lateness_;
+    LatenessGuard latenessGuard_;
     UpstreamHealth health_;
     std::uint64_t lastCallId_ = 0;
-    TimePoint slowdownTime_;
+    TimePoint slowdownUpdatedAt_;
     UpstreamPresence presence_;
     double arrivalDelayMicroseconds_ = 0.0;
     bool draining_ = false;
-    bool probing_ = false;
-    bool watchingUpstream_ = false;
-    bool watchingOverdue_ = false;
+    bool isProbing_ = false;
+    bool isProbingForWaiting_ = false;
+    bool isProbingForOverdue_ = false;
     UpstreamAccount account_;
-    /// Those that wait for a slot.
-    std::unordered_map<CallId, UpstreamRequest *> waiting_;
-    /// Those that the upstream has.
-    std::unordered_map<CallId, UpstreamRequest *> atUpstream_;
-    /// Of these, the ones that take longer than they should.
-    std::size_t overdue_ = 0;
-    /// Never expires; cancelled when a probe has ended.
-    boost::asio::steady_timer probed_;
+    /// Requests that wait for a slot.
+    std::unordered_map<CallId, UpstreamRequest *> waitingRequests_;
+    /// Requests that were handed over to the upstream.
+    std::unordered_map<CallId, UpstreamRequest *> requestsAtUpstream_;
+    /// The number of requests at the upstream that are overdue.
+    std::size_t overdueCount_ = 0;
+    /// Never expires. It is cancelled when a probe has ended, which wakes the coroutines that wait for the probe.
+    boost::asio::steady_timer probeFinished_;
 };
 
 }
--- a/src/egress/upstreamexitmonitor.cpp
+++ b/src/egress/upstreamexitmonitor.cpp
@@ -15,55 +15,55 @@
 namespace
 {
 
-/// A refusal on the same VM comes at once.
-constexpr Milliseconds ConnectLimit{250};
-/// All connections to a process end within so long of its end.
-constexpr Milliseconds SameCrash{250};
+/// A process on the same VM that refuses a connection does so at once.
+constexpr Milliseconds ConnectTimeout{250};
+/// All connections to a process end within this time after its exit.
+constexpr Milliseconds SameCrashWindow{250};
 
 }
 
 UpstreamExitMonitor::UpstreamExitMonitor(asio::any_io_executor executor, HttpConnectionPool &pool, Endpoint upstream,
-                                         Random random, Listener ended)
+                                         Random random, Listener exitListener)
     : executor_(std::move(executor))
     , pool_(pool)
     , upstream_(std::move(upstream))
     , random_(random)
-    , ended_(std::move(ended))
+    , exitListener_(std::move(exitListener))
 {
 }
 
-void UpstreamExitMonitor::connectionBroke(HeldRequest request)
+void UpstreamExitMonitor::onConnectionBroken(HeldRequest request)
 {
-    broken_.push_back(std::move(request));
-    if (!std::exchange(examining_, true)) {
-        asio::co_spawn(executor_, examine(), asio::detached);
+    brokenRequests_.push_back(std::move(request));
+    if (!std::exchange(isChecking_, true)) {
+        asio::co_spawn(executor_, checkForExit(), asio::detached);
     }
 }
 
-asio::awaitable<void> UpstreamExitMonitor::examine()
+asio::awaitable<void> UpstreamExitMonitor::checkForExit()
 {
-    const bool hasEnded = co_await refusesConnections();
-    examining_ = false;
-    if (hasEnded) {
-        conclude();
+    const bool hasExited = co_await refusesConnections();
+    isChecking_ = false;
+    if (hasExited) {
+        reportCrash();
     }
-    broken_.clear();
+    brokenRequests_.clear();
 }
 
 asio::awaitable<bool> UpstreamExitMonitor::refusesConnections()
 {
-    const auto opened = co_await pool_.open(upstream_, currentTime() + ConnectLimit, HttpConnectionChoice::Fresh);
+    const auto opened = co_await pool_.open(upstream_, currentTime() + ConnectTimeout, HttpConnectionChoice::Fresh);
     co_return !opened && opened.error().reason == Reason::ConnectFailed;
 }
 
-void UpstreamExitMonitor::conclude()
+void UpstreamExitMonitor::reportCrash()
 {
     const TimePoint now = currentTime();
-    if (lastCrash_ == UpstreamCrashId() || now - lastCrashAt_ > SameCrash) {
+    if (lastCrash_ == UpstreamCrashId() || now - lastCrashAt_ > SameCrashWindow) {
         lastCrash_ = UpstreamCrashId(random_());
         lastCrashAt_ = now;
     }
-    ended_(lastCrash_, broken_);
+    exitListener_(lastCrash_, brokenRequests_);
 }
 
 }
--- a/src/egress/upstreamexitmonitor.h
+++ b/src/egress/upstreamexitmonitor.h
@@ -16,46 +16,48 @@
 namespace Egretpath
 {
 
-/// A request that an upstream had been handed and had not answered whole.
+/// A request that was handed over to an upstream and was not answered completely.
 struct HeldRequest
 {
     RequestId request;
     RequestFingerprint fingerprint;
-    /// The upstream has answered the same request a while before.
+    /// Whether the upstream answered the same request recently.
     bool answeredRecently = false;
 };
 
-/// Tells connections that break since the upstream has ended from all others that break, and which requests it held.
+/// Detects that the upstream process has exited, and reports the requests that it held.
 ///
-/// An upstream that has ended refuses new connections from the same moment on. One that resets when it is full, drops
-/// an idle connection or loses an answer takes new ones, as it does after its links were reset. One that does not
-/// answer at all proves nothing. Thread safety: none. Precondition: the pool outlives it.
+/// The monitor opens a new connection after a connection broke. An upstream that has exited refuses new connections
+/// from that moment on. An upstream accepts them if it only reset a connection because it is full, dropped an idle
+/// connection or lost an answer, or if its links were reset. An upstream that does not react to the new connection
+/// proves nothing. Thread safety: none. Precondition: the pool outlives the monitor.
 class UpstreamExitMonitor
 {
 public:
-    /// Told at least once for each crash with requests; more often if some of their connections end a little later.
+    /// Called at least once for each crash during which the upstream held requests. It is called again for the same
+    /// crash if some connections end a little later.
     using Listener = std::function<void(UpstreamCrashId, const std::vector<HeldRequest> &)>;
 
     UpstreamExitMonitor(boost::asio::any_io_executor executor, HttpConnectionPool &pool, Endpoint upstream,
-                        Random random, Listener ended);
+                        Random random, Listener exitListener);
 
-    /// The connection of @p request broke before its answer was whole.
-    void connectionBroke(HeldRequest request);
+    /// Call this when the connection of @p request broke before its answer was complete.
+    void onConnectionBroken(HeldRequest request);
 
 private:
-    boost::asio::awaitable<void> examine();
-    /// Whether nobody listens at the upstream's address.
+    boost::asio::awaitable<void> checkForExit();
+    /// Whether no process listens at the upstream's address.
     boost::asio::awaitable<bool> refusesConnections();
-    void conclude();
+    void reportCrash();
 
     boost::asio::any_io_executor executor_;
     HttpConnectionPool &pool_;
     Endpoint upstream_;
     Random random_;
-    Listener ended_;
-    /// Their connections broke, and it is not known yet why.
-    std::vector<HeldRequest> broken_;
-    bool examining_ = false;
+    Listener exitListener_;
+    /// Requests whose connections broke for a reason that is not known yet.
+    std::vector<HeldRequest> brokenRequests_;
+    bool isChecking_ = false;
     UpstreamCrashId lastCrash_;
     TimePoint lastCrashAt_;
 };
--- a/src/egress/upstreamhealth.cpp
+++ b/src/egress/upstreamhealth.cpp
@@ -9,37 +9,39 @@
 namespace
 {
 
-/// Time in which evidence falls to 1/e: about ten answers at three a second, and forgotten some seconds after the last.
-constexpr std::chrono::duration<double> Memory{2.0};
-/// Good answers assumed beside those seen, so that one failure alone does not turn requests away.
+/// The time in which the weight of an answer falls to 1/e. At three answers a second, about ten answers count. They
+/// are forgotten some seconds after the last answer.
+constexpr std::chrono::duration<double> DecayTime{2.0};
+/// Successful answers that are assumed in addition to the recorded ones, so that a single failure does not cause
+/// refusals.
 constexpr double PriorAnswers = 3.0;
 
-double remaining(TimePoint since, TimePoint now)
+double decayFactor(TimePoint since, TimePoint now)
 {
-    return std::exp(-std::chrono::duration<double>(std::max(now - since, Duration{0})) / Memory);
+    return std::exp(-std::chrono::duration<double>(std::max(now - since, Duration{0})) / DecayTime);
 }
 
 }
 
 void UpstreamHealth::record(bool failed, TimePoint now)
 {
-    fade(now);
+    decay(now);
     answers_ += 1.0;
     failures_ += failed ? 1.0 : 0.0;
 }
 
 double UpstreamHealth::failureShare(TimePoint now) const
 {
-    const double left = remaining(fadedAt_, now);
-    return failures_ * left / (answers_ * left + PriorAnswers);
+    const double factor = decayFactor(decayedAt_, now);
+    return failures_ * factor / (answers_ * factor + PriorAnswers);
 }
 
-void UpstreamHealth::fade(TimePoint now)
+void UpstreamHealth::decay(TimePoint now)
 {
-    const double left = remaining(fadedAt_, now);
-    answers_ *= left;
-    failures_ *= left;
-    fadedAt_ = now;
+    const double factor = decayFactor(decayedAt_, now);
+    answers_ *= factor;
+    failures_ *= factor;
+    decayedAt_ = now;
 }
 
 }
--- a/src/egress/upstreamhealth.h
+++ b/src/egress/upstreamhealth.h
@@ -5,23 +5,23 @@
 namespace Egretpath
 {
 
-/// The share of an upstream's latest answers that were failures.
+/// Measures the share of failures among an upstream's latest answers.
 ///
-/// Evidence fades with time, so that an upstream that was left alone because of it is tried again.
+/// Answers lose weight with time, so that an upstream that got no requests because of its failures is tried again.
 /// Thread safety: none; one owner. Errors: none.
 class UpstreamHealth
 {
 public:
     void record(bool failed, TimePoint now);
-    /// 0 to 1; zero without evidence.
+    /// Returns the share of failures from 0 to 1, which is zero if there were no answers.
     [[nodiscard]] double failureShare(TimePoint now) const;
 
 private:
-    void fade(TimePoint now);
+    void decay(TimePoint now);
 
     double answers_ = 0.0;
     double failures_ = 0.0;
-    TimePoint fadedAt_;
+    TimePoint decayedAt_;
 };
 
 }
--- a/src/egress/upstreampresence.h
+++ b/src/egress/upstreampresence.h
@@ -8,34 +8,35 @@
 namespace Egretpath
 {
 
-/// Which upstream is at the address beside this node, from the list and from its own answers.
+/// Tracks which upstream is at the address beside this node, from the instance list and from the upstream's answers.
 ///
-/// The load that it answers: upstreams that leave while requests wait beside them. An ingress may place a request by an
-/// older list, and the request may wait for a slot or a body after that; the node beside the upstream looks again
-/// before the hand-over. Thread safety: none. Errors: none.
+/// Load pattern: upstreams leave while requests wait for them. An ingress may choose an upstream by an older instance
+/// list, and the request may then wait for a slot or a body. So the node beside the upstream checks the target again
+/// before it hands the request over. Thread safety: none. Errors: none.
 class UpstreamPresence
 {
 public:
-    /// Takes what the list says of the address; null if it names nobody there.
-    void listed(const InstanceRecord *record);
-    /// @p upstream said in an answer that it is there.
-    void answered(const UpstreamName &upstream) { present_ = upstream; }
+    /// Takes the entry of the instance list for the address; null if the list has none.
+    void onListed(const InstanceRecord *record);
+    /// Records that @p upstream sent an answer from the address.
+    void onAnswered(const UpstreamName &upstream) { answering_ = upstream; }
 
-    /// The one that the list names there, or named last; empty before it named any.
+    /// Returns the upstream that was listed last at the address; empty if there was none yet.
     [[nodiscard]] UpstreamName name() const { return listed_.value_or(UpstreamName()); }
-    /// Why a request for @p target must not be handed over; nothing if it may. An empty @p target is anybody.
+    /// Returns why a request for @p target must not be handed over, or nothing if it may be handed over. An empty
+    /// @p target stands for any upstream.
     [[nodiscard]] std::optional<Failure> rejection(const UpstreamName &target) const;
 
 private:
-    [[nodiscard]] bool hasLeft(const UpstreamName &target) const { return left_ && *left_ == target; }
-    [[nodiscard]] bool isAnother(const UpstreamName &target) const;
+    [[nodiscard]] bool hasDeparted(const UpstreamName &target) const { return departed_ && *departed_ == target; }
+    [[nodiscard]] bool isReplaced(const UpstreamName &target) const;
 
-    /// The last one listed.
+    /// The upstream that was listed last.
     std::optional<UpstreamName> listed_;
-    /// The last one that said it leaves, or that the list names no more.
-    std::optional<UpstreamName> left_;
-    /// The last one that answered.
-    std::optional<UpstreamName> present_;
+    /// The last upstream that was not listed as ready, or was removed from the list.
+    std::optional<UpstreamName> departed_;
+    /// The last upstream that answered.
+    std::optional<UpstreamName> answering_;
 };
 
 }
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -20,17 +20,17 @@
 namespace
 {
 
-/// Answers up to this size travel in one message; beyond it, in pieces.
-constexpr std::size_t CompleteAnswerLimit = std::size_t{1024} * 1024;
+/// Answers up to this size are sent in one message, larger answers in pieces.
+constexpr std::size_t MaxCompleteAnswer = std::size_t{1024} * 1024;
 constexpr Milliseconds DrainingRetryAfter{50};
 constexpr std::uint16_t FirstServerError = 500;
 constexpr std::uint16_t GatewayTimeoutStatus = 504;
 constexpr double BaselineSlowdown = 100.0;
-/// So many times longer than usual, at the VM's pace, hardly any work takes.
+/// A request is overdue after this many times its baseline time at the VM's slowdown. Hardly any work takes so long.
 constexpr double OverdueFactor = 2.5;
-constexpr Milliseconds LeastOverdue{150};
+constexpr Milliseconds MinOverdueTime{150};
 
-/// Whether the upstream's end of the connection broke, not ours.
+/// Whether the upstream, not this node, ended the connection.
 bool upstreamDisconnected(const Failure &failure)
 {
     return failure.reason == Reason::ConnectionLost || failure.reason == Reason::BadAnswer;
@@ -41,65 +41,65 @@
 UpstreamRequest::UpstreamRequest(EgressRole &role, CallHead head, std::string body,
                                  std::shared_ptr<AnswerReceiver> answer, std::shared_ptr<Cancellation> cancellation)
     : role_(role)
-    , roleLife_(role.life_)
+    , roleLifetime_(role.lifetimeToken_)
     , head_(std::move(head))
     , body_(std::move(body))
-    , answer_(std::move(answer))
+    , answerReceiver_(std::move(answer))
     , cancellation_(std::move(cancellation))
-    , slot_(role.nextCallId())
-    , arrival_(currentTime())
-    , written_(role.executor_, asio::steady_timer::time_point::max())
+    , callId_(role.nextCallId())
+    , arrivedAt_(currentTime())
+    , writeFinished_(role.executor_, asio::steady_timer::time_point::max())
     , overdueTimer_(role.executor_)
 {
 }
 
 UpstreamRequest::~UpstreamRequest()
 {
-    if (!roleLife_.expired()) {
-        role_.waiting_.erase(slot_);
-        leaveUpstream(false);
+    if (!roleLifetime_.expired()) {
+        role_.waitingRequests_.erase(callId_);
+        endTracking(false);
         releaseSlot(false);
     }
 }
 
-void UpstreamRequest::endBecause(Failure failure)
+void UpstreamRequest::abort(Failure failure)
 {
-    ended_ = std::move(failure);
-    upstream_->cancel();
+    abortFailure_ = std::move(failure);
+    httpCall_->cancel();
 }
 
-void UpstreamRequest::enterUpstream()
+void UpstreamRequest::beginTracking()
 {
-    atUpstream_ = true;
-    role_.account_.begun(slot_);
-    role_.atUpstream_.emplace(slot_, this);
-    watchDuration();
+    isAtUpstream_ = true;
+    role_.account_.begun(callId_);
+    role_.requestsAtUpstream_.emplace(callId_, this);
+    startOverdueTimer();
 }
 
-void UpstreamRequest::leaveUpstream(bool answered)
+void UpstreamRequest::endTracking(bool answered)
 {
-    if (!std::exchange(atUpstream_, false)) {
+    if (!std::exchange(isAtUpstream_, false)) {
         return;
     }
-    answered ? role_.account_.answered(slot_) : role_.account_.givenUp(slot_);
-    role_.atUpstream_.erase(slot_);
+    answered ? role_.account_.answered(callId_) : role_.account_.givenUp(callId_);
+    role_.requestsAtUpstream_.erase(callId_);
     overdueTimer_.cancel();
-    if (std::exchange(overdue_, false)) {
-        --role_.overdue_;
+    if (std::exchange(isOverdue_, false)) {
+        --role_.overdueCount_;
     }
 }
 
-void UpstreamRequest::watchDuration()
+void UpstreamRequest::startOverdueTimer()
 {
     const LoadReport report = role_.report(head_.route);
     const double slowdown = std::max(report.slowdownPercent / BaselineSlowdown, 1.0);
     const Duration baseline = scaled(Microseconds(report.serviceTimeMicroseconds), slowdown);
-    overdueTimer_.expires_after(std::max<Duration>(scaled(baseline, OverdueFactor), LeastOverdue));
+    overdueTimer_.expires_after(std::max<Duration>(scaled(baseline, OverdueFactor), MinOverdueTime));
     overdueTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto request = weak.lock();
-        if (!error && request && request->atUpstream_) {
-            request->overdue_ = true;
-            request->role_.noteOverdue();
+        if (!error && request && request->isAtUpstream_) {
+            request->isOverdue_ = true;
+            request->role_.recordOverdue();
         }
     });
 }
@@ -113,11 +113,11 @@
         co_return ended;
     }
     Result<CallOutcome> result =
-        co_await attempt(head_.repeatable ? HttpConnectionChoice::Pooled : HttpConnectionChoice::Fresh);
-    if (!result && mayAskAgain(result.error())) {
-        // The upstream dropped the idle connection just as the request was sent. Nothing came back, and the request may
-        // run again; a new connection does not meet that.
-        result = co_await attempt(HttpConnectionChoice::Fresh);
+        co_await connectAndExchange(head_.repeatable ? HttpConnectionChoice::Pooled : HttpConnectionChoice::Fresh);
+    if (!result && mayResend(result.error())) {
+        // The upstream closed the idle connection while the request was being sent. No answer came, and the request may
+        // run more than once, so it is sent again. This can't happen on a new connection.
+        result = co_await connectAndExchange(HttpConnectionChoice::Fresh);
         if (!result) {
             Failure failure = result.error();
             failure.verdict = Verdict::MayHaveRun;
@@ -134,15 +134,15 @@
 
 asio::awaitable<std::optional<Failure>> UpstreamRequest::admit()
 {
-    // A request that waited in a stalled link or a paused process has less time left than its sender wrote.
+    // A request that waited on a stalled link or in a paused process has less time left than its head says.
     const TimePoint bootNow{std::chrono::duration_cast<Duration>(timeSinceBoot())};
-    const Duration late = role_.lateness_.observe(head_.ingress.incarnation, head_.sentAt, bootNow);
-    role_.recordArrival(late);
-    deadline_ = arrival_ + head_.remaining - late;
-    if (deadline_ <= arrival_) {
+    const Duration delay = role_.latenessGuard_.observe(head_.ingress.incarnation, head_.sentAt, bootNow);
+    role_.recordArrival(delay);
+    deadline_ = arrivedAt_ + head_.remaining - delay;
+    if (deadline_ <= arrivedAt_) {
         co_return notRun(Reason::DeadlinePassed, "the request was too long on its way");
     }
-    target_ = arrival_ + head_.targetLatencyLeft - late;
+    targetTime_ = arrivedAt_ + head_.targetLatencyLeft - delay;
     if (role_.draining_) {
         co_return notRun(Reason::Draining, "the node beside the upstream stops", DrainingRetryAfter);
     }
@@ -160,9 +160,9 @@
             .rejection(offer, currentTime())
             .value_or(notRun(Reason::None, "it would be taken"));
     }
-    role_.waiting_.emplace(slot_, this);
+    role_.waitingRequests_.emplace(callId_, this);
     std::optional<Failure> refusal = co_await role_.slots_.acquire(offer, head_.targetUpstream, cancellation_);
-    role_.waiting_.erase(slot_);
+    role_.waitingRequests_.erase(callId_);
     holdsSlot_ = !refusal;
     co_return refusal;
 }
@@ -170,30 +170,30 @@
 WorkOffer UpstreamRequest::makeOffer() const
 {
     WorkOffer offer;
-    offer.call = slot_;
+    offer.call = callId_;
     offer.route = head_.route;
     offer.priority = head_.priority;
     offer.deadline = deadline_;
-    offer.target = target_;
+    offer.target = targetTime_;
     offer.declineThreshold = head_.declineThreshold;
     offer.disconnectedUpstream = head_.disconnectedUpstream;
     return offer;
 }
 
-asio::awaitable<Result<CallOutcome>> UpstreamRequest::attempt(HttpConnectionChoice choice)
+asio::awaitable<Result<CallOutcome>> UpstreamRequest::connectAndExchange(HttpConnectionChoice choice)
 {
-    // Not one conditional expression: g++ 12 destroys the temporaries of a co_await in one of its branches twice.
-    if (auto unreached = co_await connect(choice)) {
-        co_return std::move(*unreached);
+    // Not a conditional expression: g++ 12 destroys the temporaries of a co_await in one of its branches twice.
+    if (auto connectFailure = co_await connect(choice)) {
+        co_return std::move(*connectFailure);
     }
     co_return co_await exchange();
 }
 
 asio::awaitable<std::optional<Failure>> UpstreamRequest::connect(HttpConnectionChoice choice)
 {
-    // A request that may run once never goes over a connection that the upstream may be closing just now: the failure
-    // would leave it unknown whether it ran.
-    upstream_.reset();
+    // A request that may run only once gets a new connection. The upstream may be closing a pooled connection at this
+    // moment, and after such a failure it would be unknown whether the request ran.
+    httpCall_.reset();
     auto opened = co_await role_.pool_.open(role_.settings_.upstream, deadline_, choice);
     if (!opened) {
         co_return opened.error();
@@ -201,7 +201,7 @@
     if (cancellation_->isCancelled()) {
         co_return notRun(Reason::Cancelled, "cancelled before it was handed over");
     }
-    // A process that was paused here wakes with the deadline behind it and must not hand the request over.
+    // A process that was paused here may resume after the deadline and must not hand the request over then.
     if (currentTime() >= deadline_) {
         co_return notRun(Reason::DeadlinePassed, "deadline passed before it was handed over");
     }
@@ -211,78 +211,79 @@
     if (auto rejection = quarantineRejection()) {
         co_return rejection;
     }
-    upstream_ = std::move(opened).value();
+    httpCall_ = std::move(opened).value();
     cancellation_->setAction([weak = weak_from_this()] {
         const auto request = weak.lock();
-        if (request && request->upstream_) {
-            request->upstream_->cancel();
+        if (request && request->httpCall_) {
+            request->httpCall_->cancel();
         }
     });
-    handedOver_ = currentTime();
+    handedOverAt_ = currentTime();
     co_return std::nullopt;
 }
 
 asio::awaitable<Result<CallOutcome>> UpstreamRequest::exchange()
 {
-    writing_ = true;
-    enterUpstream();
-    asio::co_spawn(role_.executor_, write(shared_from_this()), asio::detached);
+    isWriting_ = true;
+    beginTracking();
+    asio::co_spawn(role_.executor_, writeRequest(shared_from_this()), asio::detached);
     Result<CallOutcome> result = co_await readAnswer();
-    leaveUpstream(false);
+    endTracking(false);
     co_await stopWriting();
-    if (ended_ && !result) {
-        if (ended_->reason == Reason::LostAtUpstream) {
+    if (abortFailure_ && !result) {
+        if (abortFailure_->reason == Reason::LostAtUpstream) {
             role_.recordAnswer(true);
         }
-        co_return *ended_;
+        co_return *abortFailure_;
     }
     if (!result && upstreamDisconnected(result.error())) {
-        const bool answeredRecently = role_.answers_.contains(content(), currentTime());
-        role_.exitMonitor_.connectionBroke({head_.requestId, name_.of(content()), answeredRecently});
+        const bool answeredRecently = role_.recentAnswers_.contains(content(), currentTime());
+        role_.exitMonitor_.onConnectionBroken({head_.requestId, fingerprint_.of(content()), answeredRecently});
     }
     co_return result;
 }
 
-/// Runs beside readAnswer(): an upstream may answer before it has read a long body.
-asio::awaitable<void> UpstreamRequest::write(std::shared_ptr<UpstreamRequest> /*self*/)
+/// Runs at the same time as readAnswer(), because an upstream may answer before it has read a long body.
+asio::awaitable<void> UpstreamRequest::writeRequest(std::shared_ptr<UpstreamRequest> /*self*/)
 {
-    // A failure shows again when the answer is read, with what the upstream may have answered before it closed.
-    const Result<void> sent = co_await upstream_->sendRequest(upstreamHead(), body_);
-    writing_ = false;
-    if (sent && atUpstream_) {
-        role_.account_.written(slot_, currentTime());
-    }
-    written_.cancel();
+    // readAnswer() reports a write failure, and it also reads what the upstream answered before it closed the
+    // connection.
+    const Result<void> sent = co_await httpCall_->sendRequest(makeUpstreamHead(), body_);
+    isWriting_ = false;
+    if (sent && isAtUpstream_) {
+        role_.account_.written(callId_, currentTime());
+    }
+    writeFinished_.cancel();
 }
 
-/// After an early answer the rest of the body is not sent on: the connection is closed instead, so that the upstream
-/// never takes other bytes for it.
+/// After an early answer the rest of the body is not sent. The connection is closed instead, so that the upstream never
+/// takes the bytes of another request for the rest of this body.
 asio::awaitable<void> UpstreamRequest::stopWriting()
 {
-    if (writing_) {
-        upstream_->cancel();
+    if (isWriting_) {
+        httpCall_->cancel();
     }
-    while (writing_) {
+    while (isWriting_) {
         boost::system::error_code ignored;
-        co_await written_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await writeFinished_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
 asio::awaitable<Result<CallOutcome>> UpstreamRequest::readAnswer()
 {
     while (true) {
-        Result<HttpResponseHead> head = co_await upstream_->readHead();
+        Result<HttpResponseHead> head = co_await httpCall_->readHead();
         if (!head) {
             co_return head.error();
         }
         const UpstreamAnswerMetadata metadata = role_.dialect_.read(head.value());
         const bool isOwn = metadata.request.value().empty() || metadata.request == head_.requestId;
         if (isOwn) {
-            leaveUpstream(true);
+            endTracking(true);
         }
         std::string body;
         while (true) {
-            Result<std::string> piece = co_await upstream_->readBody();
+            Result<std::string> piece = co_await httpCall_->readBody();
             if (!piece) {
                 co_return piece.error();
             }
@@ -290,53 +291,54 @@
                 break;
             }
             body += piece.value();
-            if (body.size() > CompleteAnswerLimit) {
-                co_return co_await stream(std::move(head).value(), std::move(body));
+            if (body.size() > MaxCompleteAnswer) {
+                co_return co_await streamAnswer(std::move(head).value(), std::move(body));
             }
         }
-        // A faulty upstream may answer an earlier request twice; the second answer stands where this one's should be.
+        // A faulty upstream may answer an earlier request twice. The second answer then comes before this request's
+        // answer.
         if (isOwn) {
-            co_return judge(std::move(head).value(), std::move(body), metadata);
+            co_return evaluateAnswer(std::move(head).value(), std::move(body), metadata);
         }
         role_.metrics_.count("egretpath_stray_answers_total");
     }
 }
 
-asio::awaitable<Result<CallOutcome>> UpstreamRequest::stream(HttpResponseHead head, std::string first)
+asio::awaitable<Result<CallOutcome>> UpstreamRequest::streamAnswer(HttpResponseHead head, std::string firstPiece)
 {
-    const Failure callerDisconnected = mayHaveRun(Reason::Cancelled, "the ingress takes no more of the answer");
+    const Failure cancelled = mayHaveRun(Reason::Cancelled, "the ingress takes no more of the answer");
     head.headers.removeHopByHop();
     AnswerHead answerHead{head.status, std::move(head.headers)};
-    // One by one: g++ 12 destroys the temporaries of a co_await in a branch that was not taken.
-    if (!co_await answer_->begin(std::move(answerHead))) {
-        co_return callerDisconnected;
+    // Separate conditions: g++ 12 destroys the temporaries of a co_await in a branch that was not taken.
+    if (!co_await answerReceiver_->begin(std::move(answerHead))) {
+        co_return cancelled;
     }
-    if (!co_await answer_->write(std::move(first))) {
-        co_return callerDisconnected;
+    if (!co_await answerReceiver_->write(std::move(firstPiece))) {
+        co_return cancelled;
     }
     while (true) {
-        Result<std::string> piece = co_await upstream_->readBody();
+        Result<std::string> piece = co_await httpCall_->readBody();
         if (!piece) {
             co_return piece.error();
         }
         if (piece.value().empty()) {
             break;
         }
-        if (!co_await answer_->write(std::move(piece).value())) {
-            co_return callerDisconnected;
+        if (!co_await answerReceiver_->write(std::move(piece).value())) {
+            co_return cancelled;
         }
     }
-    if (!co_await answer_->end()) {
-        co_return callerDisconnected;
+    if (!co_await answerReceiver_->end()) {
+        co_return cancelled;
     }
     role_.recordAnswer(false);
     co_return outcome(StreamedAnswer{});
 }
 
-Result<CallOutcome> UpstreamRequest::judge(HttpResponseHead head, std::string body,
-                                           const UpstreamAnswerMetadata &metadata)
+Result<CallOutcome> UpstreamRequest::evaluateAnswer(HttpResponseHead head, std::string body,
+                                                    const UpstreamAnswerMetadata &metadata)
 {
-    role_.take(metadata);
+    role_.applyAnswerMetadata(metadata);
     if (metadata.wrongUpstream) {
         return notRun(Reason::WrongIncarnation, "another upstream has the address");
     }
@@ -349,28 +351,29 @@
         return mayHaveRun(Reason::BadAnswer, "the answer lacks what proves that it is the upstream's");
     }
     if (head.status < FirstServerError) {
-        role_.answers_.record(content(), currentTime());
+        role_.recentAnswers_.record(content(), currentTime());
     }
     role_.recordAnswer(head.status >= FirstServerError && head.status != GatewayTimeoutStatus);
     head.headers.removeHopByHop();
     return outcome(CompleteAnswer{AnswerHead{head.status, std::move(head.headers)}, std::move(body)});
 }
 
-bool UpstreamRequest::mayAskAgain(const Failure &failure) const
+bool UpstreamRequest::mayResend(const Failure &failure) const
 {
-    return head_.repeatable && failure.reason == Reason::ConnectionLost && upstream_ && upstream_->reused()
+    return head_.repeatable && failure.reason == Reason::ConnectionLost && httpCall_ && httpCall_->reused()
         && !cancellation_->isCancelled();
 }
 
-HttpRequestHead UpstreamRequest::upstreamHead() const
+HttpRequestHead UpstreamRequest::makeUpstreamHead() const
 {
     HttpRequestHead head(head_.method, head_.target);
     head.headers = head_.headers;
-    UpstreamMetadata terms;
-    terms.left = std::max(std::chrono::duration_cast<Milliseconds>(deadline_ - currentTime()), Milliseconds{1});
-    terms.target = head_.targetUpstream;
-    terms.callerService = head_.callerService;
-    role_.dialect_.decorate(head.headers, terms);
+    UpstreamMetadata requestMetadata;
+    requestMetadata.left =
+        std::max(std::chrono::duration_cast<Milliseconds>(deadline_ - currentTime()), Milliseconds{1});
+    requestMetadata.target = head_.targetUpstream;
+    requestMetadata.callerService = head_.callerService;
+    role_.dialect_.decorate(head.headers, requestMetadata);
     return head;
 }
 
@@ -387,17 +390,17 @@
 
 std::optional<Failure> UpstreamRequest::quarantineRejection()
 {
-    // A question comes without the body that is a part of the request's name.
+    // A dry run comes without the body, and the fingerprint of the request includes the body.
     if (head_.dryRun) {
         return std::nullopt;
     }
-    return name_.rejection(role_.quarantine_, content(), currentTime());
+    return fingerprint_.rejection(role_.quarantine_, content(), currentTime());
 }
 
 void UpstreamRequest::releaseSlot(bool answered)
 {
     if (std::exchange(holdsSlot_, false)) {
-        role_.slots_.release(slot_, answered);
+        role_.slots_.release(callId_, answered);
     }
 }
 
@@ -408,22 +411,22 @@
     if (!role_.log_.admitsDecision(end, failure != nullptr ? DecisionWeight::Failure : DecisionWeight::Routine)) {
         return;
     }
-    const auto *whole = std::get_if<CompleteAnswer>(&ended.result);
+    const auto *complete = std::get_if<CompleteAnswer>(&ended.result);
     StructuredLine line("egress");
     line.add("request", head_.requestId.value()).add("try", std::uint64_t{head_.attempt});
     line.add("upstream", head_.targetUpstream.value()).add("route", head_.route.value());
     line.add("running", std::uint64_t{ended.report->inFlight}).add("queued", std::uint64_t{ended.report->queued});
     line.add("limit", std::uint64_t{ended.report->slots}).add("pace", std::uint64_t{ended.report->slowdownPercent});
     line.add("left_ms", std::chrono::duration_cast<Milliseconds>(deadline_ - end).count());
-    line.add("took_ms", std::chrono::duration_cast<Milliseconds>(end - arrival_).count());
-    if (handedOver_ != TimePoint{}) {
-        line.add("waited_ms", std::chrono::duration_cast<Milliseconds>(handedOver_ - arrival_).count());
+    line.add("took_ms", std::chrono::duration_cast<Milliseconds>(end - arrivedAt_).count());
+    if (handedOverAt_ != TimePoint{}) {
+        line.add("waited_ms", std::chrono::duration_cast<Milliseconds>(handedOverAt_ - arrivedAt_).count());
     }
     if (failure != nullptr) {
         line.add("verdict", toString(failure->verdict)).add("reason", toString(failure->reason));
         line.add("detail", failure->detail);
-    } else if (whole != nullptr) {
-        line.add("status", std::uint64_t{whole->head.status});
+    } else if (complete != nullptr) {
+        line.add("status", std::uint64_t{complete->head.status});
     }
     role_.log_.decision(line);
 }
--- a/src/egress/upstreamrequest.h
+++ b/src/egress/upstreamrequest.h
@@ -16,8 +16,8 @@
 
 /// One request at the egress, from its arrival to its outcome.
 ///
-/// Thread safety: none. Precondition: the role outlives run(); a request that is destroyed in the middle of it, with
-/// the event loop, may outlive the role.
+/// Thread safety: none. Precondition: the role outlives run(). Only a request that is destroyed together with the event
+/// loop, before run() has ended, may outlive the role.
 class UpstreamRequest : public std::enable_shared_from_this<UpstreamRequest>
 {
 public:
@@ -28,63 +28,65 @@
     UpstreamRequest &operator=(const UpstreamRequest &) = delete;
 
     boost::asio::awaitable<CallOutcome> run();
-    /// No answer of the upstream is waited for any more. Precondition: the upstream has the request.
-    void endBecause(Failure failure);
-    /// Why the request must not be run since it ends upstreams; nothing if it may be.
+    /// Stops waiting for the upstream's answer and ends the request with @p failure. Precondition: the request was
+    /// handed over to the upstream.
+    void abort(Failure failure);
+    /// Returns why the request is refused because it crashes upstreams, or nothing if it may run.
     [[nodiscard]] std::optional<Failure> quarantineRejection();
 
 private:
-    /// What the request asks of the upstream's slots.
+    /// Returns the offer of this request to the work queue.
     [[nodiscard]] WorkOffer makeOffer() const;
-    /// Takes a slot. Returns why the request goes no further, or nothing.
+    /// Takes a slot. Returns why the request ends here, or nothing if it has a slot.
     boost::asio::awaitable<std::optional<Failure>> admit();
-    /// Connects and exchanges.
-    boost::asio::awaitable<Result<CallOutcome>> attempt(HttpConnectionChoice choice);
+    /// Connects to the upstream, sends the request and reads the answer.
+    boost::asio::awaitable<Result<CallOutcome>> connectAndExchange(HttpConnectionChoice choice);
     boost::asio::awaitable<std::optional<Failure>> connect(HttpConnectionChoice choice);
     /// Sends the request and reads its answer on one connection.
     boost::asio::awaitable<Result<CallOutcome>> exchange();
     boost::asio::awaitable<Result<CallOutcome>> readAnswer();
-    boost::asio::awaitable<Result<CallOutcome>> stream(HttpResponseHead head, std::string first);
-    boost::asio::awaitable<void> write(std::shared_ptr<UpstreamRequest> self);
+    boost::asio::awaitable<Result<CallOutcome>> streamAnswer(HttpResponseHead head, std::string firstPiece);
+    boost::asio::awaitable<void> writeRequest(std::shared_ptr<UpstreamRequest> self);
     boost::asio::awaitable<void> stopWriting();
-    [[nodiscard]] Result<CallOutcome> judge(HttpResponseHead head, std::string body,
-                                            const UpstreamAnswerMetadata &metadata);
-    [[nodiscard]] bool mayAskAgain(const Failure &failure) const;
+    [[nodiscard]] Result<CallOutcome> evaluateAnswer(HttpResponseHead head, std::string body,
+                                                     const UpstreamAnswerMetadata &metadata);
+    [[nodiscard]] bool mayResend(const Failure &failure) const;
 
-    [[nodiscard]] HttpRequestHead upstreamHead() const;
+    [[nodiscard]] HttpRequestHead makeUpstreamHead() const;
     [[nodiscard]] CallOutcome outcome(std::variant<Failure, CompleteAnswer, StreamedAnswer> result) const;
-    /// The upstream has the request, or has it no longer.
-    void enterUpstream();
-    void leaveUpstream(bool answered);
+    /// The request is tracked while the upstream has it: in the role's account, among the role's requests at the
+    /// upstream, and by the overdue timer. @p answered: the tracking ends because the answer began.
+    void beginTracking();
+    void endTracking(bool answered);
     [[nodiscard]] RequestContent content() const;
-    /// Tells the role when the upstream takes much longer than it should.
-    void watchDuration();
+    /// Starts the timer that informs the role when the upstream takes much longer than expected.
+    void startOverdueTimer();
     void releaseSlot(bool answered);
     void logEnd(const CallOutcome &ended) const;
 
     EgressRole &role_;
-    std::weak_ptr<const EgressRole::Life> roleLife_;
+    std::weak_ptr<const EgressRole::LifetimeToken> roleLifetime_;
     CallHead head_;
     std::string body_;
-    std::shared_ptr<AnswerReceiver> answer_;
+    std::shared_ptr<AnswerReceiver> answerReceiver_;
     std::shared_ptr<Cancellation> cancellation_;
-    CallId slot_;
-    RequestName name_;
-    TimePoint arrival_;
+    CallId callId_;
+    RequestName fingerprint_;
+    TimePoint arrivedAt_;
     TimePoint deadline_;
-    TimePoint target_;
-    TimePoint handedOver_;
-    std::unique_ptr<HttpClientCall> upstream_;
-    /// Never expires; cancelled when the request was written or its writing failed.
-    boost::asio::steady_timer written_;
-    /// Expires when the upstream takes much longer than it should.
+    TimePoint targetTime_;
+    TimePoint handedOverAt_;
+    std::unique_ptr<HttpClientCall> httpCall_;
+    /// Never expires. It is cancelled when the request was written or writing failed.
+    boost::asio::steady_timer writeFinished_;
+    /// Expires when the upstream takes much longer than expected.
     boost::asio::steady_timer overdueTimer_;
     bool holdsSlot_ = false;
-    bool writing_ = false;
-    bool atUpstream_ = false;
-    bool overdue_ = false;
-    /// Why the node itself ended it at the upstream.
-    std::optional<Failure> ended_;
+    bool isWriting_ = false;
+    bool isAtUpstream_ = false;
+    bool isOverdue_ = false;
+    /// Why the node itself ended the request at the upstream.
+    std::optional<Failure> abortFailure_;
 };
 
 }
--- a/src/egress/workslots.cpp
+++ b/src/egress/workslots.cpp
@@ -15,7 +15,7 @@
 WorkSlots::WorkSlots(asio::any_io_executor executor, const WorkQueueSettings &settings)
     : queue_(settings)
     , executor_(std::move(executor))
-    , expiry_(executor_)
+    , expiryTimer_(executor_)
 {
 }
 
@@ -29,15 +29,15 @@
     if (std::holds_alternative<Admitted>(outcome)) {
         co_return std::nullopt;
     }
-    co_return co_await waitForTurn(offer.call, std::move(target), std::move(cancellation));
+    co_return co_await waitForSlot(offer.call, std::move(target), std::move(cancellation));
 }
 
-asio::awaitable<std::optional<Failure>> WorkSlots::waitForTurn(CallId call, UpstreamName target,
+asio::awaitable<std::optional<Failure>> WorkSlots::waitForSlot(CallId call, UpstreamName target,
                                                                std::shared_ptr<Cancellation> cancellation)
 {
     const auto waiter = std::make_shared<Waiter>(executor_, std::move(target));
     waiters_.emplace(call, waiter);
-    armExpiry();
+    scheduleExpiry();
     cancellation->setAction(
         [this, call] { removeQueued(call, notRun(Reason::Cancelled, "cancelled while it waited for a slot")); });
     boost::system::error_code ignored;
@@ -48,26 +48,26 @@
 
 void WorkSlots::release(CallId call, bool answered)
 {
-    start(queue_.finish(call, answered, currentTime()));
+    resumeWaiters(queue_.finish(call, answered, currentTime()));
     expire();
 }
 
 void WorkSlots::setSlots(std::uint32_t slots)
 {
-    start(queue_.setSlots(slots, currentTime()));
+    resumeWaiters(queue_.setSlots(slots, currentTime()));
 }
 
 void WorkSlots::setSlowdown(std::uint16_t percent)
 {
-    start(queue_.setSlowdown(percent, currentTime()));
+    resumeWaiters(queue_.setSlowdown(percent, currentTime()));
 }
 
-void WorkSlots::setExternalRequests(std::uint32_t others)
+void WorkSlots::setExternalRequests(std::uint32_t requests)
 {
-    start(queue_.setExternalRequests(others, currentTime()));
+    resumeWaiters(queue_.setExternalRequests(requests, currentTime()));
 }
 
-void WorkSlots::start(const std::vector<CallId> &calls)
+void WorkSlots::resumeWaiters(const std::vector<CallId> &calls)
 {
     for (const CallId call : calls) {
         if (const auto found = waiters_.extract(call)) {
@@ -76,7 +76,7 @@
     }
 }
 
-void WorkSlots::end(CallId call, Failure failure)
+void WorkSlots::endWait(CallId call, Failure failure)
 {
     if (const auto found = waiters_.extract(call)) {
         found.mapped()->failure = std::move(failure);
@@ -86,7 +86,7 @@
 
 void WorkSlots::refuseWaiting(const std::function<std::optional<Failure>(const UpstreamName &)> &rejection)
 {
-    // Collected first: a wait that ends takes its entry away.
+    // The failures are collected first, because ending a wait removes its entry from waiters_.
     std::vector<std::pair<CallId, Failure>> refused;
     for (const auto &[call, waiter] : waiters_) {
         if (auto failure = rejection(waiter->target)) {
@@ -101,7 +101,7 @@
 void WorkSlots::removeQueued(CallId call, Failure failure)
 {
     if (queue_.cancel(call) == CancelOutcome::WasQueued) {
-        end(call, std::move(failure));
+        endWait(call, std::move(failure));
     }
 }
 
@@ -109,25 +109,25 @@
 {
     const TimePoint now = currentTime();
     for (ExpiredCall &expired : queue_.expire(now)) {
-        end(expired.call, std::move(expired.failure));
+        endWait(expired.call, std::move(expired.failure));
     }
-    start(queue_.resume(now));
-    armExpiry();
+    resumeWaiters(queue_.resume(now));
+    scheduleExpiry();
 }
 
-void WorkSlots::armExpiry()
+void WorkSlots::scheduleExpiry()
 {
     const TimePoint now = currentTime();
-    if (awaitsNewsListener_ && awaitsNews(now)) {
-        awaitsNewsListener_();
+    if (updatesNeededListener_ && needsUpstreamUpdates(now)) {
+        updatesNeededListener_();
     }
     const std::optional<TimePoint> next = queue_.nextExpiry(now);
     if (!next) {
-        expiry_.cancel();
+        expiryTimer_.cancel();
         return;
     }
-    expiry_.expires_at(*next);
-    expiry_.async_wait([this](const boost::system::error_code &error) {
+    expiryTimer_.expires_at(*next);
+    expiryTimer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             expire();
         }
--- a/src/egress/workslots.h
+++ b/src/egress/workslots.h
@@ -19,34 +19,36 @@
 namespace Egretpath
 {
 
-/// Lets coroutines wait for one of the upstream's slots as WorkQueue decides.
+/// Lets coroutines wait for one of the upstream's slots. WorkQueue decides which request gets a slot.
 ///
-/// Thread safety: none. Destroy it only when nothing waits.
+/// Thread safety: none. Precondition of destruction: no coroutine waits.
 class WorkSlots
 {
 public:
     explicit WorkSlots(boost::asio::any_io_executor executor, const WorkQueueSettings &settings = {});
 
-    /// Returns nothing once the request has a slot, which release() then gives back; else why it has none.
-    /// Errors: NotRun with Overloaded, Declined, DeadlinePassed or Cancelled, or what refuseWaiting() was told.
+    /// Waits until the request has a slot and returns nothing; release() gives the slot back. Returns a failure if the
+    /// request gets no slot.
+    /// Errors: NotRun with Overloaded, Declined, DeadlinePassed or Cancelled, or the failure passed to refuse() or
+    /// returned by the rejection passed to refuseWaiting().
     /// @p target: the upstream that must run the request.
     boost::asio::awaitable<std::optional<Failure>> acquire(WorkOffer offer, UpstreamName target,
                                                            std::shared_ptr<Cancellation> cancellation);
-    /// Gives the slot of @p call back. @p answered: its duration tells the service time.
+    /// Gives the slot of @p call back. @p answered: the duration of the call counts as a service time.
     void release(CallId call, bool answered);
     void setSlots(std::uint32_t slots);
     void setSlowdown(std::uint16_t percent);
-    void setExternalRequests(std::uint32_t others);
-    /// Refuses each waiting request for whose upstream @p rejection returns a failure, with that failure.
+    void setExternalRequests(std::uint32_t requests);
+    /// Calls @p rejection with the target of each waiting request and refuses the request with the failure it returns.
     void refuseWaiting(const std::function<std::optional<Failure>(const UpstreamName &)> &rejection);
-    /// Ends the wait of @p call, if it waits, with @p failure.
+    /// If @p call waits, ends the wait with @p failure.
     void refuse(CallId call, Failure failure) { removeQueued(call, std::move(failure)); }
     void setFailureShare(double share) { queue_.setFailureShare(share); }
 
-    /// Calls @p listener whenever a request begins or goes on to wait for what only news of the upstream can end: the
-    /// VM's slow spell, or work there that is not from here.
-    void onAwaitsNews(std::function<void()> listener) { awaitsNewsListener_ = std::move(listener); }
-    [[nodiscard]] bool awaitsNews(TimePoint now) const
+    /// Calls @p listener whenever a request starts or continues to wait for a change that only a probe of the upstream
+    /// can show: the end of the VM's slow period, or the end of requests there that are not from this node.
+    void onUpstreamUpdatesNeeded(std::function<void()> listener) { updatesNeededListener_ = std::move(listener); }
+    [[nodiscard]] bool needsUpstreamUpdates(TimePoint now) const
     {
         return queue_.needsSlowdownUpdates(now) || queue_.needsExternalLoadUpdates();
     }
@@ -56,9 +58,9 @@
 private:
     struct Waiter
     {
-        Waiter(const boost::asio::any_io_executor &executor, UpstreamName wanted)
+        Waiter(const boost::asio::any_io_executor &executor, UpstreamName targetUpstream)
             : wakeUp(executor, boost::asio::steady_timer::time_point::max())
-            , target(std::move(wanted))
+            , target(std::move(targetUpstream))
         {
         }
 
@@ -67,19 +69,19 @@
         std::optional<Failure> failure;
     };
 
-    boost::asio::awaitable<std::optional<Failure>> waitForTurn(CallId call, UpstreamName target,
+    boost::asio::awaitable<std::optional<Failure>> waitForSlot(CallId call, UpstreamName target,
                                                                std::shared_ptr<Cancellation> cancellation);
-    void start(const std::vector<CallId> &calls);
-    void end(CallId call, Failure failure);
+    void resumeWaiters(const std::vector<CallId> &calls);
+    void endWait(CallId call, Failure failure);
     void removeQueued(CallId call, Failure failure);
     void expire();
-    void armExpiry();
+    void scheduleExpiry();
 
     WorkQueue queue_;
     boost::asio::any_io_executor executor_;
-    boost::asio::steady_timer expiry_;
+    boost::asio::steady_timer expiryTimer_;
     std::unordered_map<CallId, std::shared_ptr<Waiter>> waiters_;
-    std::function<void()> awaitsNewsListener_;
+    std::function<void()> updatesNeededListener_;
 };
 
 }
--- a/tests/egress/upstreamexitmonitortest.cpp
+++ b/tests/egress/upstreamexitmonitortest.cpp
@@ -19,14 +19,14 @@
     co_return;
 }
 
-HeldRequest held(const std::string &name)
+HeldRequest heldRequest(const std::string &name)
 {
     return {RequestId(name), fingerprintOf({"GET", "h", "/" + name, ""})};
 }
 
-struct Watched
+struct MonitoredUpstream
 {
-    Watched()
+    MonitoredUpstream()
         : server(std::make_unique<HttpServer>(loop.executor(), HttpLimits(), answerNothing))
         , upstream(server->listen(Endpoint("127.0.0.1:0")).value())
         , pool(loop.executor(), HttpPoolLimits())
@@ -34,13 +34,13 @@
                   [this](UpstreamCrashId crash, const std::vector<HeldRequest> &requests) {
                       crashes.insert(crash.value());
                       for (const HeldRequest &request : requests) {
-                          names.insert(request.request.value());
+                          heldRequests.insert(request.request.value());
                       }
                   })
     {
     }
 
-    void end() { server.reset(); }
+    void stop() { server.reset(); }
     void restart()
     {
         server = std::make_unique<HttpServer>(loop.executor(), HttpLimits(), answerNothing);
@@ -52,52 +52,53 @@
     Endpoint upstream;
     HttpConnectionPool pool;
     std::set<std::uint64_t> crashes;
-    std::set<std::string> names;
+    std::set<std::string> heldRequests;
     UpstreamExitMonitor monitor;
 };
 
 }
 
-// Guards against requests that are accused of a crash since their upstream reset a connection.
-TEST_CASE("a connection that breaks while the upstream takes new ones is no crash")
+// Guards against requests that are blamed for a crash although their upstream only reset a connection.
+TEST_CASE("a broken connection is not a crash if the upstream accepts new connections")
 {
-    Watched watched;
-    watched.loop.run([&]() -> asio::awaitable<void> {
-        watched.monitor.connectionBroke(held("reset"));
-        co_await watched.loop.sleep(Milliseconds(30));
+    MonitoredUpstream fixture;
+    fixture.loop.run([&]() -> asio::awaitable<void> {
+        fixture.monitor.onConnectionBroken(heldRequest("reset"));
+        co_await fixture.loop.sleep(Milliseconds(30));
     });
-    CHECK(watched.crashes.empty());
+    CHECK(fixture.crashes.empty());
 }
 
-TEST_CASE("connections that break with the upstream gone are one crash, which names all that it held")
+TEST_CASE(
+    "connections that break after the upstream exited are one crash, which lists all requests that the upstream held")
 {
-    Watched watched;
-    watched.loop.run([&]() -> asio::awaitable<void> {
-        watched.end();
-        watched.monitor.connectionBroke(held("first"));
-        watched.monitor.connectionBroke(held("second"));
-        co_await watched.loop.sleep(Milliseconds(30));
-        watched.monitor.connectionBroke(held("a moment later"));
-        co_await watched.loop.sleep(Milliseconds(30));
+    MonitoredUpstream fixture;
+    fixture.loop.run([&]() -> asio::awaitable<void> {
+        fixture.stop();
+        fixture.monitor.onConnectionBroken(heldRequest("first"));
+        fixture.monitor.onConnectionBroken(heldRequest("second"));
+        co_await fixture.loop.sleep(Milliseconds(30));
+        fixture.monitor.onConnectionBroken(heldRequest("a moment later"));
+        co_await fixture.loop.sleep(Milliseconds(30));
     });
-    CHECK(watched.crashes.size() == 1);
-    CHECK(watched.names == std::set<std::string>{"first", "second", "a moment later"});
+    CHECK(fixture.crashes.size() == 1);
+    CHECK(fixture.heldRequests == std::set<std::string>{"first", "second", "a moment later"});
 }
 
-TEST_CASE("an upstream that ends again is another crash")
+TEST_CASE("each exit of a restarted upstream is another crash")
 {
-    Watched watched;
-    watched.loop.run([&]() -> asio::awaitable<void> {
-        watched.end();
-        watched.monitor.connectionBroke(held("first"));
-        co_await watched.loop.sleep(Milliseconds(300));
-        watched.restart();
-        watched.monitor.connectionBroke(held("bystander"));
-        co_await watched.loop.sleep(Milliseconds(30));
-        watched.end();
-        watched.monitor.connectionBroke(held("second"));
-        co_await watched.loop.sleep(Milliseconds(30));
+    MonitoredUpstream fixture;
+    fixture.loop.run([&]() -> asio::awaitable<void> {
+        fixture.stop();
+        fixture.monitor.onConnectionBroken(heldRequest("first"));
+        co_await fixture.loop.sleep(Milliseconds(300));
+        fixture.restart();
+        fixture.monitor.onConnectionBroken(heldRequest("bystander"));
+        co_await fixture.loop.sleep(Milliseconds(30));
+        fixture.stop();
+        fixture.monitor.onConnectionBroken(heldRequest("second"));
+        co_await fixture.loop.sleep(Milliseconds(30));
     });
-    CHECK(watched.crashes.size() == 2);
-    CHECK(watched.names == std::set<std::string>{"first", "second"});
+    CHECK(fixture.crashes.size() == 2);
+    CHECK(fixture.heldRequests == std::set<std::string>{"first", "second"});
 }
--- a/tests/egress/upstreamhealthtest.cpp
+++ b/tests/egress/upstreamhealthtest.cpp
@@ -14,7 +14,7 @@
 
 }
 
-TEST_CASE("one failure alone says little, many say much")
+TEST_CASE("a single failure gives a small failure share, and many failures give a large one")
 {
     UpstreamHealth health;
     CHECK(health.failureShare(at(0)) == 0.0);
@@ -26,17 +26,17 @@
     CHECK(health.failureShare(at(200)) > 0.8);
 }
 
-// An upstream failed half of its requests for five seconds and was left alone. It has recovered, but nothing is sent
-// there that could show it.
-TEST_CASE("evidence fades, so that the upstream is tried again")
+// Guards against an upstream that never gets requests again. It failed half of its requests for five seconds, so that
+// no more were sent to it. Without new answers it can't show that it has recovered.
+TEST_CASE("the failure share decays without answers, so that the upstream is tried again")
 {
     UpstreamHealth health;
     for (int count = 0; count < 20; ++count) {
         health.record(count % 2 == 0, at(count * 50));
     }
-    const double now = health.failureShare(at(1000));
-    CHECK(now > 0.3);
-    CHECK(health.failureShare(at(8000)) < now / 4);
+    const double shareBefore = health.failureShare(at(1000));
+    CHECK(shareBefore > 0.3);
+    CHECK(health.failureShare(at(8000)) < shareBefore / 4);
     for (int count = 0; count < 20; ++count) {
         health.record(false, at(8000 + count * 50));
     }
