--- a/src/ingress/callerpatience.cpp
+++ b/src/ingress/callerpatience.cpp
@@ -10,8 +10,8 @@
 
 /// The factor by which each request reduces the earlier counts. About the last fifty requests count.
 constexpr double CountDecay = 0.98;
-/// The number of different values stored for a route. The rarest value is removed first. Without the limit callers
-/// could fill the memory with different values.
+/// The maximum number of different values stored for a route. The rarest value is removed first. Without this limit
+/// callers could fill the memory with different values.
 constexpr std::size_t MaxValues = 24;
 /// A patience counts as typical only with at least this count. Until then every request counts as a first attempt.
 constexpr double MinCount = 2.0;
--- a/src/ingress/ingressrole.cpp
+++ b/src/ingress/ingressrole.cpp
@@ -48,9 +48,9 @@
     updateRetryBudget();
 }
 
-/// All nodes share one retry limit, and keep it without exchanging messages. Each node may send retries
-/// for a share of its own requests, plus the slack divided by the number of nodes. The number of listed upstreams is
-/// taken as the number of nodes.
+/// All nodes share one retry limit, and keep it without exchanging messages. Each node may send retries for a share of
+/// its own requests, plus the slack divided by the number of nodes. The number of listed upstreams is taken as the
+/// number of nodes.
 void IngressRole::updateRetryBudget()
 {
     const double usedShare = context_->settings.repeatsUsed;
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -169,7 +169,7 @@
         co_return true;
     }
     const Failure *failure = ended.failure();
-    if (failure == nullptr && !tries_->mayRetryAfter(ended.outcome.value())) {
+    if (failure == nullptr && !tries_->mayRetryAfterAnswer(ended.outcome.value())) {
         co_await deliver(requestTry, std::move(ended.outcome).value());
         co_return true;
     }
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -290,7 +290,7 @@
     return reachedUpstreams_.size() < parameters_.route->maxAttempts && context_->budget.spend(content_.service);
 }
 
-bool RequestTries::mayRetryAfter(const CallOutcome &answer) const
+bool RequestTries::mayRetryAfterAnswer(const CallOutcome &answer) const
 {
     const auto *complete = std::get_if<CompleteAnswer>(&answer.result);
     return complete != nullptr && complete->head.status >= FirstServerError
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -73,7 +73,7 @@
     void cancelAll();
 
     /// Whether a try at another upstream may still bring a better answer than @p answer.
-    [[nodiscard]] bool mayRetryAfter(const CallOutcome &answer) const;
+    [[nodiscard]] bool mayRetryAfterAnswer(const CallOutcome &answer) const;
     /// Records that the try brought no answer for the caller. @p failure: the failure of the try, or the failure for
     /// which its answer counts.
     [[nodiscard]] NextStep recordFailure(const RequestTry &requestTry, const Failure &failure);
--- a/tests/ingress/callerpatiencetest.cpp
+++ b/tests/ingress/callerpatiencetest.cpp
@@ -50,6 +50,8 @@
     CHECK(patience.record(Read, Milliseconds(500)) == Milliseconds(0));
 }
 
+// Guards against callers that send ever new values. Only a limited number of values is stored, so that they don't fill
+// the memory, and the typical value must not be lost among them.
 TEST_CASE("the typical patience is found among many different values that are seen once each")
 {
     CallerPatience patience;
