--- a/src/egress/upstreamrequest.h
+++ b/src/egress/upstreamrequest.h
@@ -9,7 +9,7 @@
 
 #include "egress/egressrole.h"
 #include "http/httpclientcall.h"
-#include "quarantine/requestname.h"
+#include "quarantine/lazyfingerprint.h"
 
 namespace Egretpath
 {
@@ -71,7 +71,7 @@
     std::shared_ptr<AnswerReceiver> answerReceiver_;
     std::shared_ptr<Cancellation> cancellation_;
     CallId callId_;
-    RequestName fingerprint_;
+    LazyFingerprint fingerprint_;
     TimePoint arrivedAt_;
     TimePoint deadline_;
     TimePoint targetTime_;
--- a/src/idempotency/callstate.cpp
+++ b/src/idempotency/callstate.cpp
@@ -48,7 +48,7 @@
     return true;
 }
 
-NextStep CallState::tryFailed(TryNumber number, const Failure &failure)
+NextStep CallState::onTryFailed(TryNumber number, const Failure &failure)
 {
     Try *item = findTry(number);
     const bool isOpen = item != nullptr && (item->state == TryState::Prepared || item->state == TryState::InFlight);
@@ -63,10 +63,10 @@
     if (tries_.size() >= maxTries_ || (repetition_ == Repetition::Once && !isProved)) {
         return NextStep::GiveUp;
     }
-    return NextStep::MayTryAgain;
+    return NextStep::MayRetry;
 }
 
-bool CallState::answered(TryNumber number)
+bool CallState::acceptAnswer(TryNumber number)
 {
     const Try *item = findTry(number);
     if (hasEnded() || item == nullptr || item->state != TryState::InFlight) {
--- a/src/idempotency/callstate.h
+++ b/src/idempotency/callstate.h
@@ -42,7 +42,7 @@
     /// Wait for another try that is under way.
     Wait,
     /// Start another try if the deadline, the maximum of tries and the retry budget allow it; else give up.
-    MayTryAgain,
+    MayRetry,
     /// Give up now.
     GiveUp,
 };
@@ -72,10 +72,10 @@
     /// Records that a try ended without an answer. A try that was not sent is not run. A try that was sent is not run
     /// only if the egress said so in @p failure; the ingress itself reports broken connections and silence as
     /// may-have-run.
-    [[nodiscard]] NextStep tryFailed(TryNumber number, const Failure &failure);
+    [[nodiscard]] NextStep onTryFailed(TryNumber number, const Failure &failure);
     /// Records that the complete answer to a try has arrived. Returns whether to give the answer to the caller; that is
     /// true at most once.
-    [[nodiscard]] bool answered(TryNumber number);
+    [[nodiscard]] bool acceptAnswer(TryNumber number);
     /// Ends the call. Returns the failure to give to the caller, with the verdict that the tries prove, or nothing if
     /// the call had ended before. A call with a key is not run only if the owner of the key says so, because another
     /// call may have run under the key.
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -176,7 +176,7 @@
     const Failure countedFailure =
         failure != nullptr ? *failure : mayHaveRun(Reason::BadAnswer, "the upstream failed it");
     const NextStep step = tries_->recordFailure(requestTry, countedFailure);
-    if (step == NextStep::MayTryAgain && tries_->mayRetry(requestTry, countedFailure)) {
+    if (step == NextStep::MayRetry && tries_->mayRetry(requestTry, countedFailure)) {
         co_return false;
     }
     if (failure == nullptr) {
@@ -205,7 +205,7 @@
 {
     // The state has ended this try already if the answer counted as failed and is delivered because no retry is
     // possible.
-    [[maybe_unused]] const bool first = tries_->state().answered(requestTry.number);
+    [[maybe_unused]] const bool first = tries_->state().acceptAnswer(requestTry.number);
     auto *complete = std::get_if<CompleteAnswer>(&outcome.result);
     if (complete == nullptr) {
         co_return;
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -272,7 +272,7 @@
     std::vector<UpstreamName> &upstreams =
         reachedUpstream(requestTry, failure) ? reachedUpstreams_ : declinedUpstreams_;
     upstreams.push_back(requestTry.upstream);
-    return state_.tryFailed(requestTry.number, failure);
+    return state_.onTryFailed(requestTry.number, failure);
 }
 
 bool RequestTries::mayRetry(const RequestTry &requestTry, const Failure &failure)
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -14,7 +14,7 @@
 #include "idempotency/callstate.h"
 #include "ingress/ingresscontext.h"
 #include "ingress/requestparameters.h"
-#include "quarantine/requestname.h"
+#include "quarantine/lazyfingerprint.h"
 #include "rpc/cancellation.h"
 
 namespace Egretpath
@@ -121,7 +121,7 @@
     std::uint32_t tryCount_ = 0;
     /// The upstream that last disconnected while it ran the request; empty if none did.
     UpstreamName disconnectedUpstream_;
-    RequestName fingerprint_;
+    LazyFingerprint fingerprint_;
 };
 
 }
--- a/src/ingress/streamedanswerrelay.cpp
+++ b/src/ingress/streamedanswerrelay.cpp
@@ -16,7 +16,7 @@
 asio::awaitable<bool> StreamedAnswerRelay::begin(AnswerHead head)
 {
     const auto request = request_.lock();
-    if (!request || !request->tries_->state().answered(number_)) {
+    if (!request || !request->tries_->state().acceptAnswer(number_)) {
         co_return false;
     }
     request->isStreamed_ = true;
--- a/src/quarantine/requestname.h
+++ b/src/quarantine/lazyfingerprint.h
@@ -8,11 +8,11 @@
 {
 
 /// Computes the fingerprint of one request on first use and keeps it; most requests never need it. Thread safety: none.
-class RequestName
+class LazyFingerprint
 {
 public:
     /// Precondition: each call passes the content of the same request.
-    [[nodiscard]] const RequestFingerprint &of(const RequestContent &content)
+    [[nodiscard]] const RequestFingerprint &get(const RequestContent &content)
     {
         if (!fingerprint_) {
             fingerprint_ = fingerprintOf(content);
@@ -24,7 +24,7 @@
     [[nodiscard]] std::optional<Failure> rejection(const Quarantine &quarantine, const RequestContent &content,
                                                    TimePoint now)
     {
-        return quarantine.refusesNone() ? std::nullopt : quarantine.rejection(of(content), now);
+        return quarantine.refusesNone() ? std::nullopt : quarantine.rejection(get(content), now);
     }
 
 private:
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -42,7 +42,8 @@
     }
 }
 
-CrashResult Quarantine::crashed(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now)
+CrashResult Quarantine::recordCrash(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held,
+                                    TimePoint now)
 {
     CrashResult result;
     for (const RequestFingerprint &request : held) {
@@ -58,7 +59,7 @@
     return result;
 }
 
-std::vector<SuspectedRequest> Quarantine::take(const std::vector<SuspectedRequest> &reported, TimePoint now)
+std::vector<SuspectedRequest> Quarantine::merge(const std::vector<SuspectedRequest> &reported, TimePoint now)
 {
     std::vector<SuspectedRequest> refused;
     for (const SuspectedRequest &item : reported) {
@@ -128,7 +129,8 @@
     entries_.erase(position);
 }
 
-std::vector<SuspectedRequest> Quarantine::moreThan(const std::vector<SuspectedRequest> &reported, TimePoint now) const
+std::vector<SuspectedRequest> Quarantine::missingFrom(const std::vector<SuspectedRequest> &reported,
+                                                      TimePoint now) const
 {
     std::vector<SuspectedRequest> missing;
     for (const SuspectedRequest &item : reported) {
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -56,12 +56,12 @@
     /// list, and forgets what is known of the requests on the new one.
     void setAllowed(const std::vector<RequestFingerprint> &requests);
     /// Records that the upstream beside this node has crashed with the requests @p held under way.
-    CrashResult crashed(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now);
+    CrashResult recordCrash(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now);
     /// Adds what another node reported. Returns the requests that are refused from now on and were not before.
-    std::vector<SuspectedRequest> take(const std::vector<SuspectedRequest> &reported, TimePoint now);
+    std::vector<SuspectedRequest> merge(const std::vector<SuspectedRequest> &reported, TimePoint now);
     /// Returns the requests of @p reported of which this node knows more crashes, with all the known crashes.
-    [[nodiscard]] std::vector<SuspectedRequest> moreThan(const std::vector<SuspectedRequest> &reported,
-                                                         TimePoint now) const;
+    [[nodiscard]] std::vector<SuspectedRequest> missingFrom(const std::vector<SuspectedRequest> &reported,
+                                                            TimePoint now) const;
     /// Forgets requests whose last crash is older than their suspicion or refusal time.
     void expire(TimePoint now);
 
--- a/src/quarantine/quarantinespread.cpp
+++ b/src/quarantine/quarantinegossip.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/quarantinespread.h"
+#include "quarantine/quarantinegossip.h"
 
 #include <algorithm>
 #include <iterator>
@@ -24,36 +24,36 @@
 
 }
 
-QuarantineSpread::QuarantineSpread(Random random, const QuarantineSpreadSettings &settings)
+QuarantineGossip::QuarantineGossip(Random random, const QuarantineGossipSettings &settings)
     : random_(random)
     , settings_(settings)
 {
 }
 
-std::vector<Endpoint> QuarantineSpread::keepers(const InstanceDirectory &directory, const ServiceName &service) const
+std::vector<Endpoint> QuarantineGossip::collectors(const InstanceDirectory &directory, const ServiceName &service) const
 {
     const std::uint64_t seed = stableHash(service.value());
     std::map<RegionName, std::vector<RankedNode>> nodesByRegion;
     directory.forEachReady([&](const InstanceRecord &record) {
         nodesByRegion[record.location.region].push_back({stableHash(record.node.value(), seed), record.node});
     });
-    std::vector<Endpoint> keepers;
+    std::vector<Endpoint> collectors;
     for (auto &[region, nodes] : nodesByRegion) {
         const std::size_t count = std::min(settings_.collectorsPerRegion, nodes.size());
         std::partial_sort(nodes.begin(), nodes.begin() + static_cast<std::ptrdiff_t>(count), nodes.end());
         for (std::size_t index = 0; index < count; ++index) {
-            keepers.push_back(nodes[index].node);
+            collectors.push_back(nodes[index].node);
         }
     }
-    return keepers;
+    return collectors;
 }
 
-std::vector<Endpoint> QuarantineSpread::listeners(const InstanceDirectory &directory, const Endpoint &own)
+std::vector<Endpoint> QuarantineGossip::gossipTargets(const InstanceDirectory &directory, const Endpoint &own)
 {
     return anyPeers(directory, own, settings_.fanout, random_);
 }
 
-std::optional<TimePoint> QuarantineSpread::gather(const std::vector<SuspectedRequest> &refused, TimePoint now)
+std::optional<TimePoint> QuarantineGossip::enqueue(const std::vector<SuspectedRequest> &refused, TimePoint now)
 {
     const bool isScheduled = !pending_.empty();
     std::copy_if(refused.begin(), refused.end(), std::back_inserter(pending_),
@@ -64,13 +64,13 @@
     return std::max<TimePoint>(now, lastRound_ + settings_.minRoundInterval);
 }
 
-std::vector<SuspectedRequest> QuarantineSpread::takeGathered(TimePoint now)
+std::vector<SuspectedRequest> QuarantineGossip::takePending(TimePoint now)
 {
     lastRound_ = now;
     return std::exchange(pending_, {});
 }
 
-std::vector<SuspectedRequest> QuarantineSpread::inOneMessage(std::vector<SuspectedRequest> requests)
+std::vector<SuspectedRequest> QuarantineGossip::selectForMessage(std::vector<SuspectedRequest> requests)
 {
     if (requests.size() <= settings_.maxPerMessage) {
         return requests;
--- a/src/quarantine/upstreamexits.cpp
+++ b/src/quarantine/upstreamexits.cpp
@@ -16,7 +16,7 @@
 
 }
 
-bool UpstreamExits::flaps(UpstreamCrashId crash, const Quarantine &quarantine, TimePoint now) const
+bool UpstreamExits::isFlapping(UpstreamCrashId crash, const Quarantine &quarantine, TimePoint now) const
 {
     const auto isUnexplained = [&](const Exit &earlier) {
         const bool isExplained =
--- a/src/quarantine/upstreamexits.h
+++ b/src/quarantine/upstreamexits.h
@@ -19,7 +19,7 @@
 public:
     /// Whether @p crash is weak evidence, because several recent exits before it had no request under way that is
     /// refused by now.
-    [[nodiscard]] bool flaps(UpstreamCrashId crash, const Quarantine &quarantine, TimePoint now) const;
+    [[nodiscard]] bool isFlapping(UpstreamCrashId crash, const Quarantine &quarantine, TimePoint now) const;
     /// Records that the upstream has exited with the requests @p held under way. May be called again for the same crash
     /// to add further requests.
     void record(UpstreamCrashId crash, const std::vector<RequestFingerprint> &held, TimePoint now);
--- a/src/routes/routetable.h
+++ b/src/routes/routetable.h
@@ -64,7 +64,7 @@
     ServiceName name;
     std::string healthPath = "/health";
     /// Maximum number of connections that one upstream accepts from all its callers together.
-    std::uint32_t connectionCap = 64;
+    std::uint32_t maxConnections = 64;
 };
 
 /// Limits on the size of what callers send and on the time that they take.
--- a/src/sidecar/quarantinecontroller.cpp
+++ b/src/sidecar/quarantinecontroller.cpp
@@ -36,7 +36,7 @@
     , state_(state)
     , peerClient_(peerClient)
     , onChanged_(std::move(onChanged))
-    , spread_(Random(state.random()))
+    , gossip_(Random(state.random()))
     , exchangeInterval_(MinExchangeInterval)
 {
 }
@@ -68,9 +68,9 @@
         return;
     }
     const TimePoint now = currentTime();
-    const UpstreamCrash upstreamCrash{crash, exits_.flaps(crash, state_.quarantine, now)};
+    const UpstreamCrash upstreamCrash{crash, exits_.isFlapping(crash, state_.quarantine, now)};
     exits_.record(crash, requests, now);
-    const CrashResult result = state_.quarantine.crashed(upstreamCrash, requests, now);
+    const CrashResult result = state_.quarantine.recordCrash(upstreamCrash, requests, now);
     reportCrashes(result.known);
     recordRefused(result.refused, "own upstream");
 }
@@ -78,7 +78,7 @@
 void QuarantineController::reportCrashes(const std::vector<SuspectedRequest> &known)
 {
     const Endpoint own = state_.ownAddress();
-    for (const Endpoint &node : spread_.keepers(state_.directory, state_.settings.service)) {
+    for (const Endpoint &node : gossip_.collectors(state_.directory, state_.settings.service)) {
         if (node != own) {
             asio::co_spawn(executor_, sendUpdate(node, known), asio::detached);
         }
@@ -106,7 +106,7 @@
 
 void QuarantineController::apply(const std::vector<SuspectedRequest> &received, const std::string &from)
 {
-    recordRefused(state_.quarantine.take(received, currentTime()), from);
+    recordRefused(state_.quarantine.merge(received, currentTime()), from);
 }
 
 void QuarantineController::recordRefused(const std::vector<SuspectedRequest> &refused, const std::string &from)
@@ -127,7 +127,7 @@
 
 void QuarantineController::forward(const std::vector<SuspectedRequest> &refused)
 {
-    if (const auto due = spread_.gather(refused, currentTime())) {
+    if (const auto due = gossip_.enqueue(refused, currentTime())) {
         asio::co_spawn(executor_, forwardAt(*due), asio::detached);
     }
 }
@@ -136,9 +136,9 @@
 {
     asio::steady_timer timer(executor_, due);
     co_await timer.async_wait(asio::use_awaitable);
-    const std::vector<SuspectedRequest> gathered = spread_.takeGathered(currentTime());
-    for (const Endpoint &node : spread_.listeners(state_.directory, state_.ownAddress())) {
-        asio::co_spawn(executor_, sendUpdate(node, gathered), asio::detached);
+    const std::vector<SuspectedRequest> pending = gossip_.takePending(currentTime());
+    for (const Endpoint &node : gossip_.gossipTargets(state_.directory, state_.ownAddress())) {
+        asio::co_spawn(executor_, sendUpdate(node, pending), asio::detached);
     }
 }
 
@@ -146,7 +146,7 @@
 {
     const TimePoint now = currentTime();
     apply(update.requests, "another node");
-    std::vector<SuspectedRequest> more = state_.quarantine.moreThan(update.requests, now);
+    std::vector<SuspectedRequest> more = state_.quarantine.missingFrom(update.requests, now);
     if (update.digest != state_.quarantine.digest()) {
         const std::vector<SuspectedRequest> refused = state_.quarantine.refused(now);
         more.insert(more.end(), refused.begin(), refused.end());
@@ -190,7 +190,7 @@
 
 QuarantineUpdate QuarantineController::makeUpdate(std::vector<SuspectedRequest> requests)
 {
-    return {state_.quarantine.digest(), spread_.inOneMessage(std::move(requests))};
+    return {state_.quarantine.digest(), gossip_.selectForMessage(std::move(requests))};
 }
 
 std::string QuarantineController::csvText() const
--- a/src/sidecar/quarantinecontroller.h
+++ b/src/sidecar/quarantinecontroller.h
@@ -8,7 +8,7 @@
 #include <boost/asio/awaitable.hpp>
 
 #include "egress/upstreamexitmonitor.h"
-#include "quarantine/quarantinespread.h"
+#include "quarantine/quarantinegossip.h"
 #include "quarantine/upstreamexits.h"
 #include "rpc/peerclient.h"
 #include "sidecar/sidecarstate.h"
@@ -18,10 +18,10 @@
 
 /// Exchanges with other nodes which requests crash upstreams.
 ///
-/// A crash is reported to the keepers of its service, which are the nodes that combine all its crashes. A request that
-/// is refused from then on is forwarded from node to node. A node that missed it, since it has just started or was cut
-/// off, learns of it from the next answer of any node that refuses other requests than it does. Both the answer to a
-/// call and the answer to a catalog request carry the digest that shows this. Thread safety: none. Precondition:
+/// A crash is reported to the collectors of its service, which are the nodes that combine all its crashes. A request
+/// that is refused from then on is forwarded from node to node. A node that missed it, since it has just started or was
+/// cut off, learns of it from the next answer of any node that refuses other requests than it does. Both the answer to
+/// a call and the answer to a catalog request carry the digest that shows this. Thread safety: none. Precondition:
 /// references outlive the controller.
 class QuarantineController
 {
@@ -59,7 +59,7 @@
     SidecarState &state_;
     PeerClient &peerClient_;
     std::function<void()> onChanged_;
-    QuarantineSpread spread_;
+    QuarantineGossip gossip_;
     UpstreamExits exits_;
     bool isExchanging_ = false;
     TimePoint nextExchangeAt_;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -240,7 +240,7 @@
             callerServer_.setLimits(callerLimits(state_.routes->limits()));
             if (const ServiceEntry *service = state_.routes->service(state_.settings.service)) {
                 egress_.setHealthPath(service->healthPath);
-                egress_.setConnectionCap(service->connectionCap);
+                egress_.setConnectionCap(service->maxConnections);
             }
         }
         reportReady();
--- a/tests/adapter/publishedroutestest.cpp
+++ b/tests/adapter/publishedroutestest.cpp
@@ -51,7 +51,7 @@
     const ServiceEntry *service = table.value()->service(ServiceName("plans"));
     REQUIRE(service != nullptr);
     CHECK(service->healthPath == "/up");
-    CHECK(service->connectionCap == 220);
+    CHECK(service->maxConnections == 220);
 }
 
 TEST_CASE("a kind that is not known is taken for the most careful one, and what is left out has a default")
--- a/tests/idempotency/callstatetest.cpp
+++ b/tests/idempotency/callstatetest.cpp
@@ -37,7 +37,7 @@
           std::pair(Repetition::OncePerKey, Verdict::MayHaveRun)}) {
         CallState call = callState(repetition);
         REQUIRE(call.startTry(First, Start));
-        CHECK(call.tryFailed(Try1, mayHaveRun(Reason::ConnectFailed)) == NextStep::MayTryAgain);
+        CHECK(call.onTryFailed(Try1, mayHaveRun(Reason::ConnectFailed)) == NextStep::MayRetry);
         CHECK(call.giveUp(Reason::ConnectFailed)->verdict == verdict);
     }
 }
@@ -50,10 +50,10 @@
         CHECK(unanswered.outstanding().size() == 1);
         CHECK(unanswered.giveUp(Reason::DeadlinePassed)->verdict == Verdict::MayHaveRun);
         CallState lost = callSentOnce(repetition);
-        (void)lost.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost));
+        (void)lost.onTryFailed(Try1, mayHaveRun(Reason::ConnectionLost));
         CHECK(lost.giveUp(Reason::ConnectionLost)->verdict == Verdict::MayHaveRun);
         CallState refused = callSentOnce(repetition);
-        CHECK(refused.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::MayTryAgain);
+        CHECK(refused.onTryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::MayRetry);
         CHECK(refused.giveUp(Reason::Overloaded)->verdict == Verdict::NotRun);
     }
 }
@@ -61,10 +61,10 @@
 TEST_CASE("one lost try keeps the verdict at may-have-run, even if another try was refused")
 {
     CallState call = callSentOnce(Repetition::OncePerKey);
-    CHECK(call.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::MayTryAgain);
+    CHECK(call.onTryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::MayRetry);
     REQUIRE(call.startTry(First, Start));
     REQUIRE(call.permitSending(Try2, Start));
-    CHECK(call.tryFailed(Try2, notRun(Reason::Overloaded)) == NextStep::MayTryAgain);
+    CHECK(call.onTryFailed(Try2, notRun(Reason::Overloaded)) == NextStep::MayRetry);
     CHECK(call.giveUp(Reason::Overloaded)->verdict == Verdict::MayHaveRun);
 }
 
@@ -74,12 +74,12 @@
     CHECK(call.startTry(Second, Start).error().reason == Reason::KeyInUse);
     SECTION("refused")
     {
-        REQUIRE(call.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::MayTryAgain);
+        REQUIRE(call.onTryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::MayRetry);
         CHECK(call.startTry(Second, Start));
     }
     SECTION("lost")
     {
-        CHECK(call.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::GiveUp);
+        CHECK(call.onTryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::GiveUp);
         CHECK(call.startTry(Second, Start).error().reason == Reason::KeyInUse);
     }
 }
@@ -87,7 +87,7 @@
 TEST_CASE("a call with a key is sent again only to the key's owner")
 {
     CallState call = callSentOnce(Repetition::OncePerKey);
-    REQUIRE(call.tryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::MayTryAgain);
+    REQUIRE(call.onTryFailed(Try1, mayHaveRun(Reason::ConnectionLost)) == NextStep::MayRetry);
     CHECK(call.startTry(Second, Start).error().reason == Reason::KeyInUse);
     CHECK(call.startTry(First, Start));
 }
@@ -96,12 +96,12 @@
 {
     CallState call = callSentOnce(Repetition::Repeatable);
     REQUIRE(call.startTry(Second, Start));
-    CHECK_FALSE(call.answered(Try2));
+    CHECK_FALSE(call.acceptAnswer(Try2));
     REQUIRE(call.permitSending(Try2, Start));
-    CHECK(call.tryFailed(Try1, mayHaveRun(Reason::BadAnswer)) == NextStep::Wait);
-    CHECK(call.answered(Try2));
+    CHECK(call.onTryFailed(Try1, mayHaveRun(Reason::BadAnswer)) == NextStep::Wait);
+    CHECK(call.acceptAnswer(Try2));
     CHECK(call.phase() == CallPhase::Answered);
-    CHECK_FALSE(call.answered(Try2));
+    CHECK_FALSE(call.acceptAnswer(Try2));
     CHECK_FALSE(call.giveUp(Reason::DeadlinePassed));
 }
 
@@ -111,8 +111,8 @@
     REQUIRE(call.giveUp(Reason::DeadlinePassed));
     CHECK_FALSE(call.giveUp(Reason::Cancelled));
     CHECK_FALSE(call.refuse(notRun(Reason::BadKey)));
-    CHECK_FALSE(call.answered(Try1));
-    CHECK(call.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::Ignore);
+    CHECK_FALSE(call.acceptAnswer(Try1));
+    CHECK(call.onTryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::Ignore);
     CHECK_FALSE(call.startTry(Second, Start));
     CHECK(call.phase() == CallPhase::GivenUp);
 }
@@ -121,7 +121,7 @@
 {
     CallState limited = callSentOnce(Repetition::Repeatable, 1);
     CHECK(limited.startTry(Second, Start).error().reason == Reason::BudgetSpent);
-    CHECK(limited.tryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::GiveUp);
+    CHECK(limited.onTryFailed(Try1, notRun(Reason::Overloaded)) == NextStep::GiveUp);
     CallState late = callState(Repetition::Repeatable);
     REQUIRE(late.startTry(First, Start));
     CHECK_FALSE(late.permitSending(Try1, Deadline));
--- a/tests/quarantine/quarantinefleet.cpp
+++ b/tests/quarantine/quarantinefleet.cpp
@@ -52,7 +52,7 @@
     , cutRegions_(shape.regions)
 {
     for (std::size_t number = 0; number < shape.nodes; ++number) {
-        nodes_.push_back({Quarantine(), QuarantineSpread(Random(random_())), UpstreamExits(), number % shape.regions,
+        nodes_.push_back({Quarantine(), QuarantineGossip(Random(random_())), UpstreamExits(), number % shape.regions,
                           addressOf(number)});
         after(Milliseconds(random_() % shape.callInterval.count()), [this, number] { call(number); });
     }
@@ -78,12 +78,12 @@
 void QuarantineFleet::crash(std::size_t node, const std::vector<RequestFingerprint> &held)
 {
     const UpstreamCrashId id(random_());
-    const UpstreamCrash crash{id, nodes_[node].exits.flaps(id, nodes_[node].quarantine, now())};
+    const UpstreamCrash crash{id, nodes_[node].exits.isFlapping(id, nodes_[node].quarantine, now())};
     nodes_[node].exits.record(id, held, now());
-    const CrashResult result = nodes_[node].quarantine.crashed(crash, held, now());
-    for (const Endpoint &keeper : nodes_[node].spread.keepers(directory_, ServiceName("crashing"))) {
-        if (keeper != nodes_[node].address) {
-            send(node, keeper, result.known);
+    const CrashResult result = nodes_[node].quarantine.recordCrash(crash, held, now());
+    for (const Endpoint &collector : nodes_[node].gossip.collectors(directory_, ServiceName("crashing"))) {
+        if (collector != nodes_[node].address) {
+            send(node, collector, result.known);
         }
     }
     scheduleGossip(node, result.refused);
@@ -99,7 +99,7 @@
     }
     after(shape_.latency, [this, from, target, requests] {
         receive(target, requests);
-        const auto missing = nodes_[target].quarantine.moreThan(requests, now());
+        const auto missing = nodes_[target].quarantine.missingFrom(requests, now());
         if (!missing.empty()) {
             after(shape_.latency, [this, from, missing] { receive(from, missing); });
         }
@@ -108,19 +108,19 @@
 
 void QuarantineFleet::receive(std::size_t node, const std::vector<SuspectedRequest> &requests)
 {
-    scheduleGossip(node, nodes_[node].quarantine.take(requests, now()));
+    scheduleGossip(node, nodes_[node].quarantine.merge(requests, now()));
 }
 
 void QuarantineFleet::scheduleGossip(std::size_t node, const std::vector<SuspectedRequest> &refused)
 {
-    const auto due = nodes_[node].spread.gather(refused, now());
+    const auto due = nodes_[node].gossip.enqueue(refused, now());
     if (!due) {
         return;
     }
     after(std::chrono::ceil<Milliseconds>(*due - now()), [this, node] {
-        const std::vector<SuspectedRequest> gathered = nodes_[node].spread.takeGathered(now());
-        for (const Endpoint &listener : nodes_[node].spread.listeners(directory_, nodes_[node].address)) {
-            send(node, listener, gathered);
+        const std::vector<SuspectedRequest> pending = nodes_[node].gossip.takePending(now());
+        for (const Endpoint &target : nodes_[node].gossip.gossipTargets(directory_, nodes_[node].address)) {
+            send(node, target, pending);
         }
     });
 }
--- a/tests/quarantine/quarantinefleet.h
+++ b/tests/quarantine/quarantinefleet.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "quarantine/quarantine.h"
-#include "quarantine/quarantinespread.h"
+#include "quarantine/quarantinegossip.h"
 #include "quarantine/upstreamexits.h"
 #include "standins/virtualtime.h"
 
@@ -57,7 +57,7 @@
     struct Node
     {
         Quarantine quarantine;
-        QuarantineSpread spread;
+        QuarantineGossip gossip;
         UpstreamExits exits;
         std::size_t region = 0;
         Endpoint address;
--- a/tests/quarantine/quarantinespreadtest.cpp
+++ b/tests/quarantine/quarantinegossiptest.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/quarantinespread.h"
+#include "quarantine/quarantinegossip.h"
 
 #include <catch2/catch.hpp>
 
@@ -42,15 +42,15 @@
 
 TEST_CASE("all nodes choose the same few nodes of each region to collect the crashes of a service")
 {
-    const QuarantineSpread spread{Random(1)};
+    const QuarantineGossip gossip{Random(1)};
     const InstanceDirectory directory = fleet(300, 3);
-    const std::vector<Endpoint> keepers = spread.keepers(directory, Statements);
-    CHECK(keepers.size() == 6);
-    CHECK(QuarantineSpread{Random(2)}.keepers(directory, Statements) == keepers);
-    CHECK(spread.keepers(directory, ServiceName("other")) != keepers);
+    const std::vector<Endpoint> collectors = gossip.collectors(directory, Statements);
+    CHECK(collectors.size() == 6);
+    CHECK(QuarantineGossip{Random(2)}.collectors(directory, Statements) == collectors);
+    CHECK(gossip.collectors(directory, ServiceName("other")) != collectors);
     std::set<RegionName> regions;
-    for (const Endpoint &keeper : keepers) {
-        regions.insert(directory.findByNode(keeper)->location.region);
+    for (const Endpoint &collector : collectors) {
+        regions.insert(directory.findByNode(collector)->location.region);
     }
     CHECK(regions.size() == 3);
 }
@@ -59,10 +59,10 @@
 // between them.
 TEST_CASE("at most one collector changes when a node leaves the list")
 {
-    const QuarantineSpread spread{Random(1)};
-    const std::vector<Endpoint> before = spread.keepers(fleet(18, 3), Statements);
+    const QuarantineGossip gossip{Random(1)};
+    const std::vector<Endpoint> before = gossip.collectors(fleet(18, 3), Statements);
     for (int removed = 0; removed < 18; ++removed) {
-        const std::vector<Endpoint> after = spread.keepers(fleet(18, 3, removed), Statements);
+        const std::vector<Endpoint> after = gossip.collectors(fleet(18, 3, removed), Statements);
         const std::set<Endpoint> remaining(after.begin(), after.end());
         const auto kept =
             std::count_if(before.begin(), before.end(), [&](const Endpoint &node) { return remaining.contains(node); });
@@ -81,10 +81,10 @@
     for (int step = 0; step < Steps; ++step) {
         std::set<Endpoint> next;
         for (const Endpoint &node : newlyInformed) {
-            QuarantineSpread spread{Random(std::hash<Endpoint>{}(node))};
-            for (const Endpoint &listener : spread.listeners(directory, node)) {
-                if (informed.insert(listener).second) {
-                    next.insert(listener);
+            QuarantineGossip gossip{Random(std::hash<Endpoint>{}(node))};
+            for (const Endpoint &target : gossip.gossipTargets(directory, node)) {
+                if (informed.insert(target).second) {
+                    next.insert(target);
                 }
             }
         }
@@ -95,7 +95,7 @@
 
 TEST_CASE("each message holds the latest request, and every other one is in some message")
 {
-    QuarantineSpread spread{Random(1)};
+    QuarantineGossip gossip{Random(1)};
     std::vector<SuspectedRequest> all;
     all.reserve(200);
     for (int number = 0; number < 200; ++number) {
@@ -103,7 +103,7 @@
     }
     std::set<RequestFingerprint> seen;
     for (int message = 0; message < 50; ++message) {
-        const std::vector<SuspectedRequest> sent = spread.inOneMessage(all);
+        const std::vector<SuspectedRequest> sent = gossip.selectForMessage(all);
         CHECK(sent.size() == 64);
         CHECK(sent[0].fingerprint == all[0].fingerprint);
         for (const SuspectedRequest &item : sent) {
