--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -126,7 +126,7 @@
 
     struct Node
     {
-        Node(Location place, const IngressDecisions &decisions, std::uint64_t seed)
+        Node(Location place, const IngressDecisionSettings &decisions, std::uint64_t seed)
             : location(std::move(place))
             , view(decisions.view)
             , placement(location, view, Random(seed), decisions.placement)
--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -70,7 +70,7 @@
     co_return co_await request->run();
 }
 
-void EgressRole::setListed(const InstanceRecord *record)
+void EgressRole::setInstanceRecord(const InstanceRecord *record)
 {
     if (record != nullptr) {
         slots_.setSlots(record->slots);
@@ -227,7 +227,7 @@
     }
 }
 
-void EgressRole::quarantineChanged()
+void EgressRole::endQuarantinedRequests()
 {
     for (const auto &[call, request] : waitingRequests_) {
         if (auto rejection = request->quarantineRejection()) {
--- a/src/egress/egressrole.h
+++ b/src/egress/egressrole.h
@@ -73,7 +73,7 @@
 
     /// Sets what the instance list says about the upstream's address; null if it lists no upstream there. Waiting
     /// requests for an upstream that leaves are refused.
-    void setListed(const InstanceRecord *record);
+    void setInstanceRecord(const InstanceRecord *record);
     void setHealthPath(std::string path) { settings_.healthPath = std::move(path); }
     void setConnectionCap(std::uint32_t cap);
     /// Starts or stops refusing new requests.
@@ -81,7 +81,7 @@
     /// Calls @p listener when the upstream has exited while it had requests; see UpstreamExitMonitor::Listener.
     void onUpstreamExit(UpstreamExitMonitor::Listener listener) { upstreamExitListener_ = std::move(listener); }
     /// Ends all waiting and running requests that the quarantine now refuses.
-    void quarantineChanged();
+    void endQuarantinedRequests();
     [[nodiscard]] LoadReport report(const RouteName &route) const;
     /// Whether no request waits or runs here.
     [[nodiscard]] bool isIdle() const { return slots_.queue().isIdle(); }
--- a/src/ingress/ingresscontext.cpp
+++ b/src/ingress/ingresscontext.cpp
@@ -20,10 +20,10 @@
 
 }
 
-IngressContext::IngressContext(boost::asio::any_io_executor roleExecutor, IngressPlace thisNode,
+IngressContext::IngressContext(boost::asio::any_io_executor roleExecutor, LocalNode thisNode,
                                IngressSources roleSources, const CallerDialect &callerDialect, EgressRole &egressRole,
                                PeerClient &peerClient, EventLog &log, Metrics &metrics, Random generator,
-                               const IngressDecisions &decisions)
+                               const IngressDecisionSettings &decisions)
     : executor(std::move(roleExecutor))
     , localNode(std::move(thisNode))
     , sources(roleSources)
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -27,7 +27,7 @@
 {
 
 /// The identity and location of this node.
-struct IngressPlace
+struct LocalNode
 {
     NodeIdentity self;
     Location location;
@@ -46,7 +46,7 @@
 };
 
 /// The constants of the ingress role's decisions.
-struct IngressDecisions
+struct IngressDecisionSettings
 {
     IngressSettings ingress;
     PlacementSettings placement;
@@ -58,9 +58,9 @@
 /// Thread safety: none. Precondition: the references stay valid while a request runs.
 struct IngressContext
 {
-    IngressContext(boost::asio::any_io_executor roleExecutor, IngressPlace thisNode, IngressSources roleSources,
+    IngressContext(boost::asio::any_io_executor roleExecutor, LocalNode thisNode, IngressSources roleSources,
                    const CallerDialect &callerDialect, EgressRole &egressRole, PeerClient &peerClient, EventLog &log,
-                   Metrics &metrics, Random generator, const IngressDecisions &decisions);
+                   Metrics &metrics, Random generator, const IngressDecisionSettings &decisions);
 
     /// Returns the time that a request of @p route takes without queueing or slowdown.
     [[nodiscard]] Duration baselineTime(const Route &route) const;
@@ -69,7 +69,7 @@
                        const Result<CallOutcome> &outcome);
 
     boost::asio::any_io_executor executor;
-    IngressPlace localNode;
+    LocalNode localNode;
     IngressSources sources;
     const CallerDialect &dialect;
     EgressRole &egress;
--- a/src/ingress/ingressrole.cpp
+++ b/src/ingress/ingressrole.cpp
@@ -18,9 +18,9 @@
 
 }
 
-IngressRole::IngressRole(asio::any_io_executor executor, IngressPlace localNode, IngressSources sources,
+IngressRole::IngressRole(asio::any_io_executor executor, LocalNode localNode, IngressSources sources,
                          const CallerDialect &dialect, EgressRole &egress, PeerClient &peers, EventLog &log,
-                         Metrics &metrics, Random random, const IngressDecisions &decisions)
+                         Metrics &metrics, Random random, const IngressDecisionSettings &decisions)
     : context_(std::make_shared<IngressContext>(std::move(executor), std::move(localNode), sources, dialect, egress,
                                                 peers, log, metrics, random, decisions))
 {
@@ -35,7 +35,7 @@
     co_await request->run();
 }
 
-void IngressRole::setRepeatLimits(const RetryLimits &limits)
+void IngressRole::setRetryLimits(const RetryLimits &limits)
 {
     retryLimits_ = limits;
     updateRetryBudget();
@@ -53,7 +53,7 @@
 /// number of nodes.
 void IngressRole::updateRetryBudget()
 {
-    const double usedShare = context_->settings.repeatsUsed;
+    const double usedShare = context_->settings.usedRetryShare;
     const double nodeCount = std::max<double>(1.0, static_cast<double>(context_->sources.directory.size()));
     RetryBudgetSettings settings;
     settings.share = retryLimits_.ratio * usedShare;
--- a/src/ingress/ingressrole.h
+++ b/src/ingress/ingressrole.h
@@ -29,9 +29,9 @@
 class IngressRole
 {
 public:
-    IngressRole(boost::asio::any_io_executor executor, IngressPlace localNode, IngressSources sources,
+    IngressRole(boost::asio::any_io_executor executor, LocalNode localNode, IngressSources sources,
                 const CallerDialect &dialect, EgressRole &egress, PeerClient &peers, EventLog &log, Metrics &metrics,
-                Random random, const IngressDecisions &decisions = {});
+                Random random, const IngressDecisionSettings &decisions = {});
     ~IngressRole();
     IngressRole(const IngressRole &) = delete;
     IngressRole &operator=(const IngressRole &) = delete;
@@ -39,7 +39,7 @@
     /// Serves one request of a caller. This is the handler of the HTTP server for callers.
     boost::asio::awaitable<void> serve(HttpExchange &exchange);
 
-    void setRepeatLimits(const RetryLimits &limits);
+    void setRetryLimits(const RetryLimits &limits);
     void setLinkPrices(const LinkPrices &prices) { context_->placement.setPrices(prices); }
     /// Call this after the routes or the instance directory changed.
     void catalogChanged();
--- a/src/ingress/requestparameters.cpp
+++ b/src/ingress/requestparameters.cpp
@@ -29,7 +29,7 @@
     }
     const Milliseconds elapsed = context.patience.record(route.name, *parameters.caller.patience);
     const Milliseconds typical = context.patience.typical(route.name);
-    if (typical.count() > 0 && typical <= route.targetLatency * context.settings.patienceOfDependents) {
+    if (typical.count() > 0 && typical <= route.targetLatency * context.settings.dependentPatienceFactor) {
         // The caller fails soon after the target. A late answer is then worth no more than none, so only the deadline
         // counts.
         return parameters.deadline;
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -165,7 +165,7 @@
 
 asio::awaitable<Result<CallOutcome>> RequestTries::sendToPeer(RequestTryPointer requestTry, CallHead head)
 {
-    if (content_.body.size() > context_->settings.bodyToAskFor && head.declineThreshold > Microseconds{0}) {
+    if (content_.body.size() > context_->settings.maxBodyWithoutDryRun && head.declineThreshold > Microseconds{0}) {
         if (auto refused = co_await sendDryRun(requestTry, head)) {
             co_return std::move(*refused);
         }
--- a/src/sidecar/decisionsettings.h
+++ b/src/sidecar/decisionsettings.h
@@ -11,7 +11,7 @@
 /// All constants of a node's decisions, for experiments that change one of them. The product uses the defaults.
 struct DecisionSettings
 {
-    IngressDecisions ingress;
+    IngressDecisionSettings ingress;
     WorkQueueSettings queue;
     ReaderElectionSettings readers;
     CatalogTimes catalog;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -80,7 +80,7 @@
     return egress;
 }
 
-IngressPlace ingressPlace(const SidecarState &state)
+LocalNode localNode(const SidecarState &state)
 {
     return {state.self, state.location, state.settings.service, state.settings.peers};
 }
@@ -99,11 +99,11 @@
         , peerClient_(context)
         , egress_(executor_, egressSettings(settings, decisions), state_.self, *platform_.upstreams, state_.log,
                   state_.metrics, state_.quarantine, Random(state_.random()))
-        , ingress_(executor_, ingressPlace(state_), IngressSources{state_.routes, state_.directory, state_.quarantine},
+        , ingress_(executor_, localNode(state_), IngressSources{state_.routes, state_.directory, state_.quarantine},
                    *platform_.callers, egress_, peerClient_, state_.log, state_.metrics, Random(state_.random()),
                    decisions.ingress)
         , catalog_(executor_, state_, *platform_.catalog, peerClient_, decisions, [this] { catalogChanged(); })
-        , quarantine_(executor_, state_, peerClient_, [this] { egress_.quarantineChanged(); })
+        , quarantine_(executor_, state_, peerClient_, [this] { egress_.endQuarantinedRequests(); })
         , peerServer_(context, *this, MaxPeerConnections)
         , callerServer_(executor_, callerLimits(CallerLimits()),
                         [this](HttpExchange &exchange) { return ingress_.serve(exchange); })
@@ -232,7 +232,7 @@
         state_.log.info(line);
     }
 
-    void applyRepeatLimits() { ingress_.setRepeatLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
+    void applyRepeatLimits() { ingress_.setRetryLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
 
     void catalogChanged()
     {
@@ -244,7 +244,7 @@
             }
         }
         reportReady();
-        egress_.setListed(state_.directory.findByAddress(state_.settings.upstream));
+        egress_.setInstanceRecord(state_.directory.findByAddress(state_.settings.upstream));
         ingress_.catalogChanged();
     }
 
