--- a/tests/instances/instancedirectorytest.cpp
+++ b/tests/instances/instancedirectorytest.cpp
@@ -68,7 +68,7 @@
 }
 
 // Guards against new work for a draining upstream. A node learns that the upstream drains. Then a peer that was cut off
-// answers with an older list, and a late page of the store still shows the upstream as ready.
+// before that answers with an older list, and a late page of the store still shows the upstream as ready.
 TEST_CASE("older lists and changes do not undo newer ones")
 {
     InstanceDirectory directory;
@@ -115,7 +115,7 @@
 
 // Guards against requests to an upstream that has left. One node's link to the store is cut while the store runs on,
 // and an upstream leaves. After the cut, the node must not hold the upstream for two seconds as if its record had
-// expired, which is longer than an upstream that left answers.
+// expired, because an upstream that left stops answering earlier.
 TEST_CASE("after a cut of only the own link, records that the store no longer lists are dropped at once")
 {
     InstanceDirectory directory;
