--- a/src/admission/offeroutcome.h
+++ b/src/admission/offeroutcome.h
@@ -9,20 +9,20 @@
 namespace Egretpath
 {
 
-/// One call at one node; the node's own number for it.
+/// Identifies one call within a node. The node assigns the number itself.
 using CallId = StrongType<struct CallIdTag, std::uint64_t>;
 
-/// The call goes to the upstream now.
+/// The call is sent to the upstream now.
 struct Admitted
 {
 };
 
-/// The call waits; the queue says later what becomes of it.
+/// The call waits in the queue, which reports later whether the call starts or is refused.
 struct Queued
 {
 };
 
-/// The call did not run and will not.
+/// The call did not run and will not run.
 struct Refused
 {
     Failure failure;
@@ -30,20 +30,20 @@
 
 using OfferOutcome = std::variant<Admitted, Queued, Refused>;
 
-/// A queued call that can no longer meet its deadline.
+/// A queued call that was removed because it can no longer meet its deadline.
 struct ExpiredCall
 {
     CallId call;
     Failure failure;
 };
 
-/// Where a cancelled call was.
+/// State of a call at the time it was cancelled.
 enum class CancelOutcome : std::uint8_t {
-    /// It waited; it is gone and never ran.
+    /// The call was queued. It has been removed and never ran.
     WasQueued,
-    /// It is at the upstream, and keeps its slot until the upstream is rid of it.
+    /// The call is at the upstream. It keeps its slot until the upstream has finished with it.
     InFlight,
-    /// It ended before, or never came.
+    /// The call had already ended, or was never offered.
     Unknown,
 };
 
--- a/src/admission/servicetimes.h
+++ b/src/admission/servicetimes.h
@@ -8,51 +8,56 @@
 namespace Egretpath
 {
 
-/// How long a request was at work, and the VM's pace meanwhile.
+/// How long the upstream worked on a request, and the VM's slowdown during that time.
 struct WorkDuration
 {
     Duration elapsed{0};
-    /// How many times longer than usual work took when it began; above 0.
+    /// The VM's slowdown factor when the work began; above 0.
     double startSlowdown = 1.0;
-    /// What the work would have taken at the usual pace, if it changed its pace with the VM.
-    Duration followingSlowdown{0};
+    /// The time that the work would have taken at the baseline speed, if its speed followed the VM's slowdown
+    /// throughout.
+    Duration baselineElapsed{0};
 };
 
-/// How long one upstream works on the requests of each route when its VM runs at its usual pace.
+/// Estimates how long one upstream works on the requests of each route while its VM runs at the baseline speed.
 ///
-/// What it measured is divided by the pace of that time, so that a spell of slowness is not taken for longer work.
-/// Beside the usual times it keeps by how much the upstream itself is slower lately. That fades without new evidence,
-/// so that an upstream which was left alone because of it is tried again. Thread safety: none; one owner. Errors: none.
+/// Measured durations are divided by the VM's slowdown at that time, so that a slow period is not mistaken for longer
+/// work. The class also estimates how much slower the upstream itself has been lately. That estimate decays without new
+/// evidence, so that an upstream that received no requests because of it is tried again.
+///
+/// Thread safety: none; one owner. Errors: none.
 class ServiceTimes
 {
 public:
-    /// A request of @p route is done.
+    /// Records a completed request of @p route.
     void record(const RouteName &route, const WorkDuration &work, TimePoint now);
-    /// A request was given up: it would have taken longer. Shorter than usual it says nothing.
+    /// Records a request that was given up before it completed. The full duration would have been longer than @p work,
+    /// so the request is ignored if @p work is not longer than the baseline.
     void recordUnfinished(const RouteName &route, const WorkDuration &work, TimePoint now);
-    /// Whether work seems to keep to its end the pace of the moment at which it began; true until something speaks
-    /// against it.
-    [[nodiscard]] bool workKeepsItsPace() const { return slowdownEvidence_ >= 0.0; }
-    /// How many times longer than usual the upstream takes lately, its VM's pace aside; 1 or more.
-    [[nodiscard]] double slowness(TimePoint now) const;
-    /// The mean of @p route; of all routes for one that was not seen; a default before any was.
+    /// Whether work appears to keep the slowdown at which it began until it ends, whatever the VM does meanwhile. True
+    /// until there is evidence against it.
+    [[nodiscard]] bool keepsStartSlowdown() const { return startSlowdownEvidence_ >= 0.0; }
+    /// How many times longer than the baseline the upstream has taken lately, apart from the VM's slowdown; 1 or more.
+    [[nodiscard]] double upstreamSlowdown(TimePoint now) const;
+    /// The mean duration of @p route at the baseline speed. For a route without requests, the mean of all routes; a
+    /// default value before any request was recorded.
     [[nodiscard]] Duration baseline(const RouteName &route) const;
-    /// The mean over all routes; the same default.
+    /// The mean duration over all routes; the same default value before any request was recorded.
     [[nodiscard]] Duration overall() const;
 
 private:
-    void recordSlowness(double ratio, TimePoint now);
-    [[nodiscard]] double atBaselineSlowdown(const WorkDuration &work) const;
-    void recordSlowdownEvidence(const WorkDuration &work, double baseline);
+    void recordUpstreamSlowdown(double ratio, TimePoint now);
+    [[nodiscard]] double baselineMicroseconds(const WorkDuration &work) const;
+    void recordStartSlowdownEvidence(const WorkDuration &work, double baseline);
 
-    std::unordered_map<RouteName, double> microseconds_;
+    std::unordered_map<RouteName, double> baselineMicroseconds_;
     double overallMicroseconds_ = 0.0;
-    /// By how much slowness exceeds one, at slownessTime_.
-    double excess_ = 0.0;
-    TimePoint slownessTime_;
-    /// By how much better the pace at its start foretells the length of work than the pace on the way; negative if the
-    /// latter is better.
-    double slowdownEvidence_ = 0.0;
+    /// The excess of upstreamSlowdown() over 1 at excessSlowdownTime_.
+    double excessSlowdown_ = 0.0;
+    TimePoint excessSlowdownTime_;
+    /// How much better the slowdown at the start of the work predicts its duration than the slowdown throughout the
+    /// work does; negative if the latter predicts better.
+    double startSlowdownEvidence_ = 0.0;
 };
 
 }
--- a/src/admission/stopadmission.cpp
+++ b/src/admission/stopadmission.cpp
@@ -10,19 +10,21 @@
 namespace
 {
 
-/// By which the longest answer approaches a shorter newest one: some hundred answers are remembered.
+/// Share of the difference by which the longest answer time moves towards a shorter new one. The longest answer is
+/// remembered for some hundred answers.
 constexpr double LongestDecay = 0.005;
-/// Of the longest answers: a node sees one or two a second, too few to have met the slowest VM with the longest work.
-constexpr double Margin = 2.0;
+/// Safety factor on the longest answer time. A node sees one or two of the longest answers a second, too few to have
+/// observed the longest work on the slowest VM.
+constexpr double LongestAnswerMargin = 2.0;
 
 }
 
-void StopAdmission::recordAnswer(const RouteName &route, Duration took)
+void StopAdmission::recordAnswer(const RouteName &route, Duration duration)
 {
-    const auto [place, isNew] = longest_.try_emplace(route, took);
+    const auto [entry, isNew] = longestAnswers_.try_emplace(route, duration);
     if (!isNew) {
-        const Duration decayed = place->second - scaled(place->second - took, LongestDecay);
-        place->second = std::max(took, decayed);
+        const Duration decayed = entry->second - scaled(entry->second - duration, LongestDecay);
+        entry->second = std::max(duration, decayed);
     }
 }
 
@@ -33,14 +35,14 @@
 
 bool StopAdmission::takes(const RouteName &route, TimePoint deadline, TimePoint now) const
 {
-    if (closed_) {
+    if (isClosed_) {
         return false;
     }
     if (deadline <= end_) {
         return true;
     }
-    const auto longest = longest_.find(route);
-    return longest != longest_.end() && now + scaled(longest->second, Margin) <= end_;
+    const auto longest = longestAnswers_.find(route);
+    return longest != longestAnswers_.end() && now + scaled(longest->second, LongestAnswerMargin) <= end_;
 }
 
 Duration StopAdmission::timeLeft(TimePoint now) const
--- a/src/admission/stopadmission.h
+++ b/src/admission/stopadmission.h
@@ -8,34 +8,34 @@
 namespace Egretpath
 {
 
-/// Decides which requests a node still takes while it stops.
+/// Decides which requests a node still accepts while it stops.
 ///
-/// The load that it answers: a planned stop, after which callers go on for seconds, with routes whose answers take some
-/// milliseconds and others whose answers take seconds on a slow VM. A request that is passed on and outlives the
-/// process is cut though it runs; one that is refused though it could have been answered has to come back for nothing.
-/// So each is judged by its deadline and by what the answers of its route took lately.
+/// Load pattern: callers keep sending requests for seconds after a planned stop begins. The answers of some routes take
+/// some milliseconds, those of others take seconds on a slow VM. A request that is forwarded and outlives the process
+/// is cut off although it runs. A request that is refused although it could have been answered has to be retried
+/// needlessly. Each request is therefore judged by its deadline and by the recent answer times of its route.
 ///
 /// Thread safety: none; one owner. Errors: none.
 class StopAdmission
 {
 public:
-    /// The answer to a request of @p route came @p took after the request.
-    void recordAnswer(const RouteName &route, Duration took);
-    /// The process ends at @p end at the latest.
+    /// Records that the answer to a request of @p route took @p duration.
+    void recordAnswer(const RouteName &route, Duration duration);
+    /// Begins the stop. The process ends at @p end at the latest.
     void begin(TimePoint end);
-    /// Nothing more is taken from now on.
-    void close() { closed_ = true; }
+    /// Refuses all requests from now on.
+    void close() { isClosed_ = true; }
 
-    /// Whether a request of @p route that comes at @p now ends before the process does, in all likelihood.
+    /// Whether a request of @p route that arrives at @p now is likely to end before the process does.
     [[nodiscard]] bool takes(const RouteName &route, TimePoint deadline, TimePoint now) const;
-    /// From @p now until the end of the process; zero if it doesn't stop.
+    /// Time from @p now until the end of the process; zero if the node is not stopping.
     [[nodiscard]] Duration timeLeft(TimePoint now) const;
 
 private:
-    /// By route, of the answers that took longest lately.
-    std::unordered_map<RouteName, Duration> longest_;
+    /// Longest recent answer time of each route.
+    std::unordered_map<RouteName, Duration> longestAnswers_;
     TimePoint end_ = TimePoint::max();
-    bool closed_ = false;
+    bool isClosed_ = false;
 };
 
 }
--- a/src/admission/upstreamaccount.cpp
+++ b/src/admission/upstreamaccount.cpp
@@ -8,103 +8,105 @@
 namespace
 {
 
-/// An upstream on a busy VM has read a request, and counts it, so long after it was written.
-constexpr Milliseconds ReadTime{50};
-/// Answers that were made before a count have arrived so long after it, on a busy VM.
-constexpr Milliseconds SettleTime{100};
-/// Claims kept; each report makes one at most, and the newest ones know most.
-constexpr std::size_t ClaimsCap = 8;
+/// Time after which an upstream on a busy VM has read a written request and counts it.
+constexpr Milliseconds ReadDelay{50};
+/// Time after which answers that were sent before a count have arrived on a busy VM.
+constexpr Milliseconds SettleDelay{100};
+/// Maximum number of loss records. Each report adds at most one, and the newest records are the most accurate.
+constexpr std::size_t MaxLossRecords = 8;
 
 }
 
 void UpstreamAccount::begun(CallId call)
 {
-    open_.push_back({call, std::nullopt});
-    ++query_.mayCount;
+    openCalls_.push_back({call, std::nullopt});
+    ++query_.maxCounted;
 }
 
 void UpstreamAccount::written(CallId call, TimePoint now)
 {
-    const auto place = std::find_if(open_.begin(), open_.end(), [call](const Open &item) { return item.call == call; });
-    if (place != open_.end()) {
-        place->written = now;
+    const auto found = std::find_if(openCalls_.begin(), openCalls_.end(),
+                                    [call](const OpenCall &openCall) { return openCall.call == call; });
+    if (found != openCalls_.end()) {
+        found->writtenAt = now;
     }
 }
 
 void UpstreamAccount::answered(CallId call)
 {
-    end(call, true);
+    removeCall(call, true);
 }
 
 void UpstreamAccount::givenUp(CallId call)
 {
-    end(call, false);
+    removeCall(call, false);
 }
 
-void UpstreamAccount::end(CallId call, bool answered)
+void UpstreamAccount::removeCall(CallId call, bool answered)
 {
-    std::erase_if(open_, [call](const Open &item) { return item.call == call; });
-    query_.known.erase(call);
-    for (Claim &claim : claims_) {
-        const bool concerned = claim.among.erase(call) > 0;
-        // One that was given up may be among the lost ones; an answer may have been made before the count.
-        if (concerned && claim.lost > 0 && (!answered || !claim.settled)) {
-            --claim.lost;
+    std::erase_if(openCalls_, [call](const OpenCall &openCall) { return openCall.call == call; });
+    query_.readCalls.erase(call);
+    for (LossRecord &record : lossRecords_) {
+        const bool isCandidate = record.candidates.erase(call) > 0;
+        // A call that was given up may be one of the lost calls. An answer in an unsettled record may have been sent
+        // before the count.
+        if (isCandidate && record.lostCount > 0 && (!answered || !record.isSettled)) {
+            --record.lostCount;
         }
     }
-    std::erase_if(claims_, [](const Claim &claim) { return claim.lost == 0; });
+    std::erase_if(lossRecords_, [](const LossRecord &record) { return record.lostCount == 0; });
 }
 
 void UpstreamAccount::asked(TimePoint now)
 {
     query_ = {};
-    query_.at = now;
-    query_.mayCount = static_cast<std::uint32_t>(open_.size());
-    for (const Open &item : open_) {
-        if (item.written && now - *item.written >= ReadTime) {
-            query_.known.insert(item.call);
+    query_.sentAt = now;
+    query_.maxCounted = static_cast<std::uint32_t>(openCalls_.size());
+    for (const OpenCall &openCall : openCalls_) {
+        if (openCall.writtenAt && now - *openCall.writtenAt >= ReadDelay) {
+            query_.readCalls.insert(openCall.call);
         }
     }
 }
 
 void UpstreamAccount::reported(std::uint32_t held, TimePoint now)
 {
-    counts_ = counts_ || held > 0;
-    others_ = held > query_.mayCount ? held - query_.mayCount : 0;
-    settleClaims();
-    if (counts_ && query_.known.size() > held) {
-        makeClaim(held, now);
+    hasCounted_ = hasCounted_ || held > 0;
+    externalRequests_ = held > query_.maxCounted ? held - query_.maxCounted : 0;
+    settleLossRecords();
+    if (hasCounted_ && query_.readCalls.size() > held) {
+        addLossRecord(held, now);
     }
 }
 
-/// While a question that was asked later went there and back, the answers on their way were read, also in a process
-/// that had stood still.
-void UpstreamAccount::settleClaims()
+/// Settles records that are older than the query that was just answered by SettleDelay or more. During the round trip
+/// of that query the node has read the answers that were in flight, even if its process was suspended meanwhile.
+void UpstreamAccount::settleLossRecords()
 {
-    for (Claim &claim : claims_) {
-        claim.settled = claim.settled || query_.at - claim.made >= SettleTime;
+    for (LossRecord &record : lossRecords_) {
+        record.isSettled = record.isSettled || query_.sentAt - record.recordedAt >= SettleDelay;
     }
 }
 
-void UpstreamAccount::makeClaim(std::uint32_t held, TimePoint now)
+void UpstreamAccount::addLossRecord(std::uint32_t held, TimePoint now)
 {
-    if (claims_.size() == ClaimsCap) {
-        claims_.erase(claims_.begin());
+    if (lossRecords_.size() == MaxLossRecords) {
+        lossRecords_.erase(lossRecords_.begin());
     }
-    const auto known = static_cast<std::uint32_t>(query_.known.size());
-    claims_.push_back({std::move(query_.known), known - held, now, false});
-    query_.known.clear();
+    const auto readCount = static_cast<std::uint32_t>(query_.readCalls.size());
+    lossRecords_.push_back({std::move(query_.readCalls), readCount - held, now, false});
+    query_.readCalls.clear();
 }
 
 std::vector<CallId> UpstreamAccount::lost() const
 {
-    std::set<CallId> lost;
-    for (const Claim &claim : claims_) {
-        if (claim.settled && claim.among.size() == claim.lost) {
-            lost.insert(claim.among.begin(), claim.among.end());
+    std::set<CallId> lostCalls;
+    for (const LossRecord &record : lossRecords_) {
+        if (record.isSettled && record.candidates.size() == record.lostCount) {
+            lostCalls.insert(record.candidates.begin(), record.candidates.end());
         }
     }
-    return {lost.begin(), lost.end()};
+    return {lostCalls.begin(), lostCalls.end()};
 }
 
 }
--- a/src/admission/upstreamaccount.h
+++ b/src/admission/upstreamaccount.h
@@ -11,72 +11,74 @@
 namespace Egretpath
 {
 
-/// Compares what one upstream says that it has with what was handed over to it.
+/// Compares the number of requests that one upstream reports with the requests that were sent to it.
 ///
-/// The loads that it answers: upstreams that never answer what they can't queue, nor anything more on that connection,
-/// so that a request would hold its slot until its deadline; and upstreams that still work for a process which ended,
-/// or for callers that left, so that they are fuller than their node knows.
+/// Load pattern: some upstreams never answer requests that they can't queue, nor any further request on the same
+/// connection, so that such a request would hold its slot until its deadline. Other upstreams still work for a process
+/// that has ended or for callers that have disconnected, so that they are busier than their node knows.
 ///
-/// Silence alone proves nothing. An upstream that counts fewer requests than it was handed, and has not answered the
-/// difference, has lost some; which ones shows as the others are answered. Reports count only once the upstream was
-/// seen to count at all. Thread safety: none; one owner. Errors: none.
+/// A missing answer alone is no evidence of loss. If an upstream counts fewer requests than it was sent and has not
+/// answered the missing ones, it has lost some of them. Which requests are lost becomes known as the others are
+/// answered. Reports are used for this only after the upstream has reported at least one request.
+///
+/// Thread safety: none; one owner. Errors: none.
 class UpstreamAccount
 {
 public:
-    /// A request is being written to the upstream. Precondition: @p call was not begun before.
+    /// The node starts to write a request to the upstream. Precondition: this was not called for @p call before.
     void begun(CallId call);
-    /// The whole of it was written.
+    /// The request was written completely.
     void written(CallId call, TimePoint now);
-    /// The upstream's answer began.
+    /// The upstream has started to answer.
     void answered(CallId call);
-    /// Its connection ended without an answer: the upstream may work on for it.
+    /// The connection of the request ended without an answer. The upstream may continue to work on the request.
     void givenUp(CallId call);
 
-    /// The upstream is asked how many requests it has. One question is under way at a time.
+    /// A query for the upstream's number of requests was sent. Only one query is in flight at a time.
     void asked(TimePoint now);
-    /// Its answer: it works on @p held requests or queues them.
+    /// The upstream answered the query: it runs or queues @p held requests.
     void reported(std::uint32_t held, TimePoint now);
 
-    /// Requests that it has and that no call here waits for, as of the last report.
-    [[nodiscard]] std::uint32_t others() const { return others_; }
-    /// Calls that it has lost. Each stays among them until it ends.
+    /// Requests at the upstream that no call of this node waits for, as of the last report.
+    [[nodiscard]] std::uint32_t others() const { return externalRequests_; }
+    /// Calls that the upstream has lost. Each call stays in the result until it ends.
     [[nodiscard]] std::vector<CallId> lost() const;
 
 private:
-    /// So many of these calls are lost.
-    struct Claim
+    /// States that lostCount of the candidates are lost.
+    struct LossRecord
     {
-        std::set<CallId> among;
-        std::uint32_t lost = 0;
-        TimePoint made;
-        /// Answers that were on their way when the upstream counted have arrived.
-        bool settled = false;
+        std::set<CallId> candidates;
+        std::uint32_t lostCount = 0;
+        TimePoint recordedAt;
+        /// Whether all answers that were in flight when the upstream counted have arrived.
+        bool isSettled = false;
     };
 
     struct Query
     {
-        TimePoint at;
-        /// Calls that the upstream had certainly read by then.
-        std::set<CallId> known;
-        /// Calls that it may have counted.
-        std::uint32_t mayCount = 0;
+        TimePoint sentAt;
+        /// Calls that the upstream must have read before the query was sent.
+        std::set<CallId> readCalls;
+        /// Maximum number of this node's calls that the upstream may have counted.
+        std::uint32_t maxCounted = 0;
     };
 
-    struct Open
+    struct OpenCall
     {
         CallId call;
-        std::optional<TimePoint> written;
+        std::optional<TimePoint> writtenAt;
     };
 
-    void end(CallId call, bool answered);
-    void settleClaims();
-    void makeClaim(std::uint32_t held, TimePoint now);
+    void removeCall(CallId call, bool answered);
+    void settleLossRecords();
+    void addLossRecord(std::uint32_t held, TimePoint now);
 
-    std::vector<Open> open_;
-    std::vector<Claim> claims_;
+    std::vector<OpenCall> openCalls_;
+    std::vector<LossRecord> lossRecords_;
     Query query_;
-    std::uint32_t others_ = 0;
-    bool counts_ = false;
+    std::uint32_t externalRequests_ = 0;
+    bool hasCounted_ = false;
 };
 
 }
--- a/src/admission/vmslowdown.h
+++ b/src/admission/vmslowdown.h
@@ -8,30 +8,32 @@
 namespace Egretpath
 {
 
-/// How fast the VM of one upstream works, and how long it stays slow.
+/// Tracks the slowdown of one upstream's VM and estimates how long a slow period lasts.
 ///
-/// The load that it answers: neighbours on the same host slow a VM several times over, for some tenths of a second at a
-/// time. Work that begins then may keep that pace to its end, so that waiting for the end of the slow spell is quicker
-/// than beginning at once. A VM that is slow for longer, as one that has just started, is taken as it is: what counts
-/// as slow is measured against the best pace of the last moments.
+/// Load pattern: neighbours on the same host slow a VM down several times, for some tenths of a second at a time. Work
+/// that begins during a slow period may keep the slowdown until it ends, so that it is quicker to begin after the slow
+/// period than to begin at once. A VM that is slow for longer, such as one that has just started, is not in a slow
+/// period: slow periods are detected relative to the lowest recent slowdown.
 ///
-/// Paces are factors: how many times longer than usual work takes. Thread safety: none; one owner. Errors: none.
+/// Slowdowns are factors: how many times longer than the baseline work takes.
+///
+/// Thread safety: none; one owner. Errors: none.
 class VmSlowdown
 {
 public:
     /// Records the slowdown @p factor at @p now. Preconditions: @p factor > 0; @p now does not go back.
     void record(double factor, TimePoint now);
 
-    /// The latest pace.
+    /// The latest slowdown.
     [[nodiscard]] double factor() const { return factor_; }
-    /// The slowdown that is expected after the present slow period; factor() while there is none.
+    /// The slowdown that is expected after the current slow period; factor() if there is none.
     [[nodiscard]] double afterSlowPeriod(TimePoint now) const;
-    /// From @p now to the expected end of the present slow spell; zero while there is none.
+    /// Time from @p now to the expected end of the current slow period; zero if there is none.
     [[nodiscard]] Duration slowPeriodLeft(TimePoint now) const;
-    /// The time at which the VM is no longer taken to be in a spell if its pace stays what it is.
+    /// The time from which the VM no longer counts as in a slow period if its slowdown does not change.
     [[nodiscard]] TimePoint slowPeriodLimit() const;
-    /// The time that work done from @p start to @p now would have taken at the usual pace if it changes its pace with
-    /// the VM. Spans that reach back further than the memory count at the oldest pace that is remembered.
+    /// The time that work done from @p start to @p now would have taken at the baseline speed if it follows the VM's
+    /// slowdown throughout. The part of the span before the oldest stored sample counts at the slowdown of that sample.
     [[nodiscard]] Duration baselineTimeBetween(TimePoint start, TimePoint now) const;
 
 private:
@@ -41,13 +43,13 @@
         TimePoint since;
     };
 
-    [[nodiscard]] double bestSince(TimePoint time) const;
-    void forgetBefore(TimePoint time);
+    [[nodiscard]] double lowestSince(TimePoint time) const;
+    void dropSamplesBefore(TimePoint time);
 
-    /// Changes of the pace, oldest first; the first one may have begun before the memory.
+    /// Changes of the slowdown, oldest first. The first one may have begun before the time range that is kept.
     std::deque<Sample> samples_;
     double factor_ = 1.0;
-    bool inSlowPeriod_ = false;
+    bool isInSlowPeriod_ = false;
     TimePoint slowPeriodStart_;
     TimePoint lastRecord_;
     double meanSlowPeriodSeconds_ = 0.0;
--- a/src/admission/workqueue.cpp
+++ b/src/admission/workqueue.cpp
@@ -13,14 +13,15 @@
 {
 
 constexpr double BaselineSlowdown = 100.0;
-/// Four fifths of five slots are four, though not in binary fractions.
-constexpr double Rounding = 1e-9;
-/// A call that comes late already waits at least so long for a slot: about the time in which one is freed.
-constexpr Milliseconds LeastLateWait{60};
-/// Running calls beyond this many times their usual time show that the upstream is slow or stands still.
+/// Four fifths of five slots are four, but binary fractions may yield slightly less.
+constexpr double RoundingTolerance = 1e-9;
+/// Minimum time that a call which is late on arrival waits for a slot; about the time in which one slot becomes free.
+constexpr Milliseconds MinLateWait{60};
+/// A running call that takes longer than this multiple of its expected time shows that the upstream is slow or has
+/// stopped.
 constexpr double OverdueFactor = 2.5;
 constexpr double MaxSlowdown = 5000.0;
-/// A running call that already took its usual time is taken to need this share of it again.
+/// A running call that has reached its expected time is assumed to need at least this share of it again.
 constexpr double OverdueShare = 0.3;
 
 std::uint16_t slowdownInPercent(double factor)
@@ -53,17 +54,17 @@
     return startQueued(now);
 }
 
-std::vector<CallId> WorkQueue::setExternalRequests(std::uint32_t others, TimePoint now)
+std::vector<CallId> WorkQueue::setExternalRequests(std::uint32_t requests, TimePoint now)
 {
-    // More than all slots can't be taken, whatever the upstream says.
-    others_ = std::min(others, slots_);
+    // External requests can't occupy more than all slots, whatever the upstream reports.
+    externalRequests_ = std::min(requests, slots_);
     return startQueued(now);
 }
 
 std::uint32_t WorkQueue::limit() const
 {
-    // The largest count that does not exceed the fill beyond which the upstream slows itself.
-    return std::max(1U, static_cast<std::uint32_t>(std::floor(settings_.comfortableFill * slots_ + Rounding)));
+    // The largest number of calls that does not exceed the fill level at which the upstream slows itself down.
+    return std::max(1U, static_cast<std::uint32_t>(std::floor(settings_.comfortableFill * slots_ + RoundingTolerance)));
 }
 
 std::optional<Failure> WorkQueue::rejection(const WorkOffer &offer, TimePoint now) const
@@ -72,7 +73,7 @@
         return refusal(Reason::DeadlinePassed, offer, now);
     }
     const bool mayGoElsewhere = offer.declineThreshold > Duration{0};
-    if (mayGoElsewhere && hasCompanion(offer)) {
+    if (mayGoElsewhere && hasCoSuspect(offer)) {
         return notRun(Reason::Declined, "a request that the same upstream broke off with is here");
     }
     if (mayGoElsewhere && expected(offer, now) > offer.declineThreshold) {
@@ -82,7 +83,7 @@
         return std::nullopt;
     }
     const TimePoint begin = now + expectedWait(offer, now);
-    if (begin > latestStart(offer, now) || (isLate(offer, begin, now) && !takesLateOnes(begin, now))) {
+    if (begin > latestStart(offer, now) || (isLate(offer, begin, now) && !hasRoomForLateCall(begin, now))) {
         return refusal(Reason::Overloaded, offer, now);
     }
     return std::nullopt;
@@ -107,13 +108,13 @@
     if (place == running_.end()) {
         return {};
     }
-    const Running &running = place->second;
+    const RunningCall &running = place->second;
     const WorkDuration work = workDuration(running, now);
     if (answered) {
         times_.record(running.route, work, now);
     } else {
-        // Guards against an upstream that answers so late that all its callers have given up: no answer would ever
-        // show that it is slow, and it would look idle and get more.
+        // Guards against an upstream that answers so late that all its callers have given up. No answer would ever show
+        // that it is slow, and it would look idle and receive more requests.
         times_.recordUnfinished(running.route, work, now);
     }
     running_.erase(place);
@@ -125,7 +126,8 @@
     if (running_.contains(call)) {
         return CancelOutcome::InFlight;
     }
-    const auto erased = std::erase_if(queue_, [call](const Waiting &waiting) { return waiting.offer.call == call; });
+    const auto erased =
+        std::erase_if(queue_, [call](const QueuedCall &queuedCall) { return queuedCall.offer.call == call; });
     return erased > 0 ? CancelOutcome::WasQueued : CancelOutcome::Unknown;
 }
 
@@ -133,7 +135,7 @@
 {
     std::vector<ExpiredCall> expired;
     for (auto place = queue_.begin(); place != queue_.end();) {
-        if (giveUpTime(*place, now) > now) {
+        if (expiryTime(*place, now) > now) {
             ++place;
             continue;
         }
@@ -145,35 +147,37 @@
 
 std::optional<TimePoint> WorkQueue::nextExpiry(TimePoint now) const
 {
-    std::optional<TimePoint> next;
-    for (const Waiting &waiting : queue_) {
-        const TimePoint time = giveUpTime(waiting, now);
-        next = next ? std::min(*next, time) : time;
+    std::optional<TimePoint> earliest;
+    for (const QueuedCall &queuedCall : queue_) {
+        const TimePoint time = expiryTime(queuedCall, now);
+        earliest = earliest ? std::min(*earliest, time) : time;
     }
     if (needsSlowdownUpdates(now)) {
-        next = std::min(*next, slowdown_.slowPeriodLimit());
+        earliest = std::min(*earliest, slowdown_.slowPeriodLimit());
     }
-    return next;
+    return earliest;
 }
 
 bool WorkQueue::needsSlowdownUpdates(TimePoint now) const
 {
-    const auto held = [this, now](const Waiting &waiting) { return waitsForSlowPeriodEnd(waiting.offer.route, now); };
-    return hasFreeSlot() && std::any_of(queue_.begin(), queue_.end(), held);
+    const auto waitsForEnd = [this, now](const QueuedCall &queuedCall) {
+        return waitsForSlowPeriodEnd(queuedCall.offer.route, now);
+    };
+    return hasFreeSlot() && std::any_of(queue_.begin(), queue_.end(), waitsForEnd);
 }
 
 LoadReport WorkQueue::report(const RouteName &route, TimePoint now) const
 {
     LoadReport report;
-    report.inFlight = static_cast<std::uint32_t>(atWork());
+    report.inFlight = static_cast<std::uint32_t>(occupiedSlots());
     report.queued = static_cast<std::uint32_t>(queue_.size());
     report.slots = limit();
     report.serviceTimeMicroseconds = asMicroseconds(times_.baseline(route));
-    const double slower = slowness(now);
-    report.slowdownPercent = slowdownInPercent(slowdown_.factor() * slower);
+    const double ownSlowdown = upstreamSlowdown(now);
+    report.slowdownPercent = slowdownInPercent(slowdown_.factor() * ownSlowdown);
     report.recoveredSlowdownPercent = report.slowdownPercent;
-    if (waitsForSlowPeriods() && slowdown_.slowPeriodLeft(now) > Duration{0}) {
-        report.recoveredSlowdownPercent = slowdownInPercent(slowdown_.afterSlowPeriod(now) * slower);
+    if (mayWaitForSlowPeriodEnd() && slowdown_.slowPeriodLeft(now) > Duration{0}) {
+        report.recoveredSlowdownPercent = slowdownInPercent(slowdown_.afterSlowPeriod(now) * ownSlowdown);
         report.slowPeriodLeftMicroseconds = asMicroseconds(slowdown_.slowPeriodLeft(now));
     }
     report.meanServiceMicroseconds = asMicroseconds(times_.overall());
@@ -183,56 +187,56 @@
 
 Duration WorkQueue::expected(const WorkOffer &offer, TimePoint now) const
 {
-    const double failures = 1.0 + settings_.failureFactor * failureShare_;
-    return scaled(expectedWait(offer, now) + serviceTime(offer.route, now), failures * slowness(now));
+    const double failureScale = 1.0 + settings_.failureFactor * failureShare_;
+    return scaled(expectedWait(offer, now) + serviceTime(offer.route, now), failureScale * upstreamSlowdown(now));
 }
 
 bool WorkQueue::startsAtOnce(const WorkOffer &offer, TimePoint now) const
 {
-    // With a free slot, only calls that await the end of a spell, or a companion, are in the queue.
-    return hasFreeSlot() && !waitsForSlowPeriodEnd(offer.route, now) && !awaitsCompanion(offer);
+    // While a slot is free, the queue contains only calls that wait for the end of a slow period or for a co-suspect.
+    return hasFreeSlot() && !waitsForSlowPeriodEnd(offer.route, now) && !waitsForCoSuspect(offer);
 }
 
-bool WorkQueue::areCompanions(const WorkOffer &offer, const UpstreamName &disconnectedUpstream) const
+bool WorkQueue::areCoSuspects(const WorkOffer &offer, const UpstreamName &disconnectedUpstream) const
 {
     return settings_.separatesCoSuspects && !offer.disconnectedUpstream.value().empty()
         && offer.disconnectedUpstream == disconnectedUpstream;
 }
 
-bool WorkQueue::awaitsCompanion(const WorkOffer &offer) const
+bool WorkQueue::waitsForCoSuspect(const WorkOffer &offer) const
 {
     return std::any_of(running_.begin(), running_.end(),
-                       [&](const auto &item) { return areCompanions(offer, item.second.disconnectedUpstream); });
+                       [&](const auto &item) { return areCoSuspects(offer, item.second.disconnectedUpstream); });
 }
 
-bool WorkQueue::hasCompanion(const WorkOffer &offer) const
+bool WorkQueue::hasCoSuspect(const WorkOffer &offer) const
 {
-    const bool waits = std::any_of(queue_.begin(), queue_.end(), [&](const Waiting &waiting) {
-        return areCompanions(offer, waiting.offer.disconnectedUpstream);
+    const bool isQueued = std::any_of(queue_.begin(), queue_.end(), [&](const QueuedCall &queuedCall) {
+        return areCoSuspects(offer, queuedCall.offer.disconnectedUpstream);
     });
-    return waits || awaitsCompanion(offer);
+    return isQueued || waitsForCoSuspect(offer);
 }
 
-Duration WorkQueue::companionLeft(const WorkOffer &offer, TimePoint now) const
+Duration WorkQueue::coSuspectTimeLeft(const WorkOffer &offer, TimePoint now) const
 {
     Duration left{0};
     for (const auto &[call, running] : running_) {
-        if (areCompanions(offer, running.disconnectedUpstream)) {
+        if (areCoSuspects(offer, running.disconnectedUpstream)) {
             left = std::max(left, timeLeft(running, now));
         }
     }
     return left;
 }
 
-bool WorkQueue::waitsForSlowPeriods() const
+bool WorkQueue::mayWaitForSlowPeriodEnd() const
 {
-    return settings_.waitsForSlowPeriodEnd && times_.workKeepsItsPace();
+    return settings_.waitsForSlowPeriodEnd && times_.keepsStartSlowdown();
 }
 
 bool WorkQueue::waitsForSlowPeriodEnd(const RouteName &route, TimePoint now) const
 {
     const Duration slowPeriod = slowdown_.slowPeriodLeft(now);
-    if (slowPeriod == Duration{0} || !waitsForSlowPeriods()) {
+    if (slowPeriod == Duration{0} || !mayWaitForSlowPeriodEnd()) {
         return false;
     }
     const Duration baseline = times_.baseline(route);
@@ -245,45 +249,45 @@
     return scaled(times_.baseline(route), slowdown);
 }
 
-WorkDuration WorkQueue::workDuration(const Running &running, TimePoint now) const
+WorkDuration WorkQueue::workDuration(const RunningCall &running, TimePoint now) const
 {
     return {now - running.start, running.slowdown, slowdown_.baselineTimeBetween(running.start, now)};
 }
 
-double WorkQueue::slowness(TimePoint now) const
+double WorkQueue::upstreamSlowdown(TimePoint now) const
 {
-    double underWay = 0.0;
+    double sum = 0.0;
     for (const auto &[call, running] : running_) {
         const Duration baseline = scaled(times_.baseline(running.route), running.slowdown * OverdueFactor);
-        underWay += std::max(1.0, std::chrono::duration<double>(now - running.start) / baseline);
+        sum += std::max(1.0, std::chrono::duration<double>(now - running.start) / baseline);
     }
-    const double mean = running_.empty() ? 1.0 : underWay / static_cast<double>(running_.size());
-    return std::max(times_.slowness(now), mean);
+    const double mean = running_.empty() ? 1.0 : sum / static_cast<double>(running_.size());
+    return std::max(times_.upstreamSlowdown(now), mean);
 }
 
-/// When the upstream would begin a request that comes now: the slots are freed one by one and taken by those before it.
+/// Simulates the slots: they become free one by one and are taken by the queued calls that go before @p offer.
 Duration WorkQueue::expectedWait(const WorkOffer &offer, TimePoint now) const
 {
     if (startsAtOnce(offer, now)) {
         return Duration{0};
     }
     const Duration slowPeriod = waitsForSlowPeriodEnd(offer.route, now) ? slowdown_.slowPeriodLeft(now) : Duration{0};
-    const Duration companion = companionLeft(offer, now);
+    const Duration coSuspectTime = coSuspectTimeLeft(offer, now);
     std::vector<Duration> freeAfter = slotsFreeAfter(now);
     for (Duration &after : freeAfter) {
-        after = std::max({after, slowPeriod, companion});
+        after = std::max({after, slowPeriod, coSuspectTime});
     }
-    for (const Waiting &waiting : queue_) {
-        if (goesBefore(offer, waiting.offer, now)) {
+    for (const QueuedCall &queuedCall : queue_) {
+        if (goesBefore(offer, queuedCall.offer, now)) {
             continue;
         }
         const auto soonest = std::min_element(freeAfter.begin(), freeAfter.end());
-        *soonest += serviceTime(waiting.offer.route, now);
+        *soonest += serviceTime(queuedCall.offer.route, now);
     }
     return *std::min_element(freeAfter.begin(), freeAfter.end());
 }
 
-Duration WorkQueue::timeLeft(const Running &running, TimePoint now) const
+Duration WorkQueue::timeLeft(const RunningCall &running, TimePoint now) const
 {
     const Duration baseline = scaled(times_.baseline(running.route), running.slowdown);
     return std::max(baseline - (now - running.start), scaled(baseline, OverdueShare));
@@ -295,28 +299,29 @@
     for (const auto &[call, running] : running_) {
         freeAfter.push_back(timeLeft(running, now));
     }
-    // Half of it is done, as far as one knows.
-    const Duration restOfOther = scaled(times_.overall(), slowdown_.factor() / 2);
-    freeAfter.insert(freeAfter.end(), others_, restOfOther);
+    // On average, half of an external request is assumed to be done.
+    const Duration externalTimeLeft = scaled(times_.overall(), slowdown_.factor() / 2);
+    freeAfter.insert(freeAfter.end(), externalRequests_, externalTimeLeft);
     freeAfter.resize(std::max<std::size_t>(freeAfter.size(), limit()), Duration{0});
     std::sort(freeAfter.begin(), freeAfter.end());
-    // Calls above a limit that was lowered free no slot.
+    // After the limit was lowered, running calls above it free no slot when they end.
     freeAfter.erase(freeAfter.begin(), freeAfter.begin() + static_cast<std::ptrdiff_t>(freeAfter.size() - limit()));
     return freeAfter;
 }
 
 TimePoint WorkQueue::latestStart(const WorkOffer &offer, TimePoint now) const
 {
-    const Duration needed = scaled(serviceTime(offer.route, now), settings_.leastServiceShare);
+    const Duration needed = scaled(serviceTime(offer.route, now), settings_.minServiceShare);
     return offer.deadline - std::max<Duration>(needed, settings_.refusalLead);
 }
 
-TimePoint WorkQueue::giveUpTime(const Waiting &waiting, TimePoint now) const
+TimePoint WorkQueue::expiryTime(const QueuedCall &queuedCall, TimePoint now) const
 {
-    const Duration targetLength = std::max(waiting.offer.target - waiting.arrival, Duration{0});
-    const TimePoint lateSince = std::max(waiting.offer.target - serviceTime(waiting.offer.route, now), waiting.arrival);
-    const Duration patience = std::max(scaled(targetLength, settings_.lateWait), Duration{LeastLateWait});
-    return std::min(latestStart(waiting.offer, now), lateSince + patience);
+    const Duration targetLength = std::max(queuedCall.offer.target - queuedCall.arrival, Duration{0});
+    const TimePoint lateSince =
+        std::max(queuedCall.offer.target - serviceTime(queuedCall.offer.route, now), queuedCall.arrival);
+    const Duration allowedLateWait = std::max(scaled(targetLength, settings_.lateWait), Duration{MinLateWait});
+    return std::min(latestStart(queuedCall.offer, now), lateSince + allowedLateWait);
 }
 
 bool WorkQueue::isLate(const WorkOffer &offer, TimePoint start, TimePoint now) const
@@ -324,19 +329,20 @@
     return start + serviceTime(offer.route, now) > offer.target;
 }
 
-bool WorkQueue::takesLateOnes(TimePoint start, TimePoint now) const
+bool WorkQueue::hasRoomForLateCall(TimePoint start, TimePoint now) const
 {
-    const auto late = std::count_if(queue_.begin(), queue_.end(), [this, start, now](const Waiting &waiting) {
-        return isLate(waiting.offer, start, now);
-    });
-    return static_cast<double>(late) < settings_.lateBacklog * limit();
+    const auto lateCalls =
+        std::count_if(queue_.begin(), queue_.end(), [this, start, now](const QueuedCall &queuedCall) {
+            return isLate(queuedCall.offer, start, now);
+        });
+    return static_cast<double>(lateCalls) < settings_.lateBacklog * limit();
 }
 
 std::vector<CallId> WorkQueue::startQueued(TimePoint now)
 {
     std::vector<CallId> started;
     while (hasFreeSlot()) {
-        const auto place = next(now);
+        const auto place = nextReady(now);
         if (place == queue_.end()) {
             break;
         }
@@ -347,28 +353,28 @@
     return started;
 }
 
-/// Those that can still meet their target come first, by rank and then by target; then the others, by rank, those with
-/// the most time left first: the ones whose deadline is near would be cut before they are done.
+/// Calls that can still meet their target go first, by priority and then by target. The other calls follow, by priority
+/// and then with the latest deadline first: calls whose deadline is near would be cut off before they complete.
 bool WorkQueue::goesBefore(const WorkOffer &one, const WorkOffer &other, TimePoint now) const
 {
     if (!settings_.ordersByUrgency) {
         return false;
     }
     const auto urgency = [this, now](const WorkOffer &offer) {
-        const bool late = isLate(offer, now, now);
-        return std::tuple(late, offer.priority, late ? now - offer.deadline : offer.target - now);
+        const bool missesTarget = isLate(offer, now, now);
+        return std::tuple(missesTarget, offer.priority, missesTarget ? now - offer.deadline : offer.target - now);
     };
     return urgency(one) < urgency(other);
 }
 
-std::vector<WorkQueue::Waiting>::iterator WorkQueue::next(TimePoint now)
+std::vector<WorkQueue::QueuedCall>::iterator WorkQueue::nextReady(TimePoint now)
 {
     auto best = queue_.end();
     for (auto place = queue_.begin(); place != queue_.end(); ++place) {
-        // One that is too late stays for expire(), which has a failure to give it.
-        const bool ready = latestStart(place->offer, now) > now && !waitsForSlowPeriodEnd(place->offer.route, now)
-            && !awaitsCompanion(place->offer);
-        if (ready && (best == queue_.end() || goesBefore(place->offer, best->offer, now))) {
+        // A call that is too late stays queued until expire() returns it with a failure.
+        const bool isReady = latestStart(place->offer, now) > now && !waitsForSlowPeriodEnd(place->offer.route, now)
+            && !waitsForCoSuspect(place->offer);
+        if (isReady && (best == queue_.end() || goesBefore(place->offer, best->offer, now))) {
             best = place;
         }
     }
@@ -378,14 +384,14 @@
 Failure WorkQueue::refusal(Reason reason, const WorkOffer &offer, TimePoint now) const
 {
     const auto wait = std::max(std::chrono::ceil<Milliseconds>(expectedWait(offer, now)), Milliseconds{1});
-    const bool passed = reason == Reason::DeadlinePassed;
-    return notRun(reason, passed ? "the deadline passed before the request could start" : "no slot before the deadline",
-                  wait);
+    const bool hasPassed = reason == Reason::DeadlinePassed;
+    return notRun(
+        reason, hasPassed ? "the deadline passed before the request could start" : "no slot before the deadline", wait);
 }
 
 void WorkQueue::start(const WorkOffer &offer, TimePoint now)
 {
-    running_.emplace(offer.call, Running{offer.route, now, slowdown_.factor(), offer.disconnectedUpstream});
+    running_.emplace(offer.call, RunningCall{offer.route, now, slowdown_.factor(), offer.disconnectedUpstream});
 }
 
 }
--- a/src/admission/workqueue.h
+++ b/src/admission/workqueue.h
@@ -16,7 +16,7 @@
 namespace Egretpath
 {
 
-/// A request that asks for a slot of the upstream.
+/// A request for a slot of the upstream.
 struct WorkOffer
 {
     CallId call;
@@ -24,167 +24,178 @@
     /// 0 is the most urgent.
     std::uint8_t priority = 0;
     TimePoint deadline;
-    /// Later than this an answer is worth little.
+    /// An answer after this time is worth little.
     TimePoint target;
-    /// It goes elsewhere if it is expected to take longer here; zero: it stays if its deadline can be met.
+    /// The request is declined if its expected time here exceeds this threshold. Zero: it is accepted if its deadline
+    /// can be met.
     Duration declineThreshold{0};
-    /// The upstream that broke off while it ran the request before; empty: none did.
+    /// The upstream that disconnected while it ran the request earlier; empty if none did.
     UpstreamName disconnectedUpstream;
 };
 
-/// Constants of WorkQueue.
+/// Tuning constants of WorkQueue.
 struct WorkQueueSettings
 {
-    /// Share of its slots up to which an upstream is filled. One that is nearly full slows itself, and then finishes
-    /// less than with a slot or two free.
+    /// Share of its slots up to which an upstream is filled. A nearly full upstream slows itself down and completes
+    /// fewer requests than with a slot or two free.
     double comfortableFill = 0.8;
-    /// A call is refused, or given up while it waits, when less than this share of the time that it takes at the VM's
-    /// present pace would be left: work that is cut at its deadline takes a slot for nothing.
-    double leastServiceShare = 0.9;
-    /// The answer to a refusal has to reach the sender before the deadline; else it can't say that nothing ran.
+    /// A call is refused, or given up while queued, if the time left before its deadline is less than this share of its
+    /// duration at the VM's current slowdown. Work that is cut off at its deadline occupies a slot for nothing.
+    double minServiceShare = 0.9;
+    /// Time that a refusal needs to reach the sender. A refusal that arrives after the deadline can't tell the sender
+    /// that nothing ran.
     Milliseconds refusalLead{25};
-    /// Calls that have missed their target and still wait, as a share of the limit. Beyond it they are refused at once:
-    /// while the load lasts they would wait behind all that can still be in time, and hear of it only at their
-    /// deadline.
+    /// Maximum number of queued calls that miss their target, as a share of the limit. Further such calls are refused
+    /// at once: during an overload they would wait behind all calls that can still be in time, and would be refused
+    /// only at their deadline.
     double lateBacklog = 1.0;
-    /// A call that has missed its target is refused when it has waited this share of its target's length besides.
+    /// How long a call stays queued after it can no longer meet its target, as a share of the time from its arrival to
+    /// its target. After that it is refused.
     double lateWait = 0.5;
-    /// Calls begin after a slow spell of the VM where that is quicker; else at once.
+    /// Whether calls start after a slow period of the VM if that is quicker; else they start at once.
     bool waitsForSlowPeriodEnd = true;
-    /// Calls begin in the order of goesBefore(); else in that of their arrival.
+    /// Whether calls start in the order of goesBefore(); else they start in order of arrival.
     bool ordersByUrgency = true;
-    /// Requests that another upstream broke off with are not run together.
+    /// Whether requests that were running when the same other upstream disconnected are kept from running together.
     bool separatesCoSuspects = true;
-    /// A failure is told as if work took so many times longer: its sender has to begin again elsewhere, or loses it.
+    /// Weight of the failure share in the expected time: 1 + failureFactor * share. A sender whose request fails has to
+    /// retry it on another upstream or loses it.
     double failureFactor = 4.0;
 };
 
-/// Decides at the egress which requests the upstream works on, which wait and in which order, and which go elsewhere.
+/// Decides at the egress which requests the upstream runs, which are queued and in which order, and which are declined
+/// or refused.
 ///
-/// The load that it answers: bursts of one and a half to twice the usual for seconds, on VMs that turn four times
-/// slower for some tenths of a second at a time. Requests wait here and not at the upstream, whose queue can be neither
-/// ordered nor taken back; the upstream is kept below the fill from which it slows itself. First come those that can
-/// still meet their target, by rank, then those that can meet their deadline.
+/// Load pattern: bursts of one and a half to twice the usual load for seconds, on VMs that become four times slower for
+/// some tenths of a second at a time. Requests wait in this queue and not at the upstream, whose queue can neither be
+/// reordered nor cancelled. The upstream is kept below the fill level at which it slows itself down. Calls that can
+/// still meet their target start first, by priority; calls that can only meet their deadline follow.
 ///
-/// While the VM is in a slow spell a request that would take longer than the rest of the spell and its usual time
-/// together begins after the spell. Begun at once it would keep the slow pace, and its slot several times as long, to
-/// its end.
+/// During a slow period of the VM, a request is delayed until the period ends if the rest of the period and the
+/// baseline duration together are shorter than the duration at the current slowdown. If it started at once, it would
+/// keep the slowdown until it ends and occupy its slot several times as long.
 ///
-/// Companions are requests that the same upstream broke off with; one of them at a time goes to this one. Else a
-/// bystander goes with the request that ended that upstream to the next one, which ends as well, and is accused with
-/// it.
+/// Co-suspects are requests that were running when the same upstream disconnected. Only one of them runs on this
+/// upstream at a time. Otherwise an unrelated request could run beside the request that crashed the first upstream; the
+/// next upstream would crash too, and both requests would be suspected.
 ///
-/// Each offered call ends exactly once: by Refused, by an ExpiredCall, by cancel() out of the queue, or by finish().
-/// Thread safety: none; one owner. Call expire() and then resume() after each event, and at nextExpiry().
+/// Each offered call ends exactly once: by Refused, by an ExpiredCall, by cancel() while queued, or by finish(). Call
+/// expire() and then resume() after each event, and at nextExpiry().
+///
+/// Thread safety: none; one owner.
 class WorkQueue
 {
 public:
     explicit WorkQueue(WorkQueueSettings settings = {});
 
-    /// Requests that the upstream works on at the same time.
+    /// Sets the number of requests that the upstream can run at the same time. Returns as setSlowdown() does.
     [[nodiscard]] std::vector<CallId> setSlots(std::uint32_t slots, TimePoint now);
-    /// How long work takes on the VM now, in percent of the usual. Returns the queued calls that go to the upstream
-    /// now, in this order.
+    /// Sets the VM's slowdown: how long work takes now, in percent of the baseline. Returns the queued calls that start
+    /// now, in order.
     [[nodiscard]] std::vector<CallId> setSlowdown(std::uint16_t percent, TimePoint now);
-    /// The upstream works on @p others besides, for a process that ended or callers that left. Returns as setSlots().
-    [[nodiscard]] std::vector<CallId> setExternalRequests(std::uint32_t others, TimePoint now);
-    /// A share of the upstream's answers that were failures lately, 0 to 1.
+    /// Sets the number of other requests that the upstream runs, for a process that has ended or for callers that have
+    /// disconnected. Returns as setSlowdown() does.
+    [[nodiscard]] std::vector<CallId> setExternalRequests(std::uint32_t requests, TimePoint now);
+    /// Sets the share of the upstream's recent answers that were failures, 0 to 1.
     void setFailureShare(double share) { failureShare_ = share; }
 
-    /// A request arrives. Precondition: its call was not offered before. Errors: Refused carries NotRun with Overloaded
-    /// or DeadlinePassed and when to come back, or with Declined.
+    /// Decides on a request that arrives. Precondition: its call was not offered before. Errors: Refused carries
+    /// NotRun, either with Overloaded or DeadlinePassed and the time after which to retry, or with Declined.
     [[nodiscard]] OfferOutcome offer(const WorkOffer &offer, TimePoint now);
-    /// Why offer() would refuse @p offer now; nothing if it would take it. Changes nothing.
+    /// The failure with which offer() would refuse @p offer now; nothing if offer() would accept it. Changes no state.
     [[nodiscard]] std::optional<Failure> rejection(const WorkOffer &offer, TimePoint now) const;
-    /// The upstream is rid of @p call. @p answered: its duration tells the service time; else it would have been
-    /// longer. Returns the queued calls that go to the upstream now, in this order.
+    /// The upstream has finished with @p call. If @p answered, its duration is recorded as a service time; else the
+    /// full duration would have been longer. Returns the queued calls that start now, in order.
     [[nodiscard]] std::vector<CallId> finish(CallId call, bool answered, TimePoint now);
     CancelOutcome cancel(CallId call);
-    /// Removes and returns the queued calls that can no longer meet their deadline. They provably did not run.
+    /// Removes and returns the queued calls that can no longer meet their deadline. These calls never ran.
     [[nodiscard]] std::vector<ExpiredCall> expire(TimePoint now);
     [[nodiscard]] std::optional<TimePoint> nextExpiry(TimePoint now) const;
-    /// Starts queued calls that waited for the end of a slow spell and need not any more, in this order.
+    /// Starts the queued calls that no longer have to wait for the end of a slow period. Returns them in order.
     [[nodiscard]] std::vector<CallId> resume(TimePoint now) { return startQueued(now); }
-    /// Whether a slot is free and a call waits for the end of the VM's slow spell, so that news of its pace matter.
+    /// Whether a slot is free while a call waits for the end of the VM's slow period, so that updates of the slowdown
+    /// are needed.
     [[nodiscard]] bool needsSlowdownUpdates(TimePoint now) const;
-    /// Whether a call waits for work that is not from here, so that news of that matter.
-    [[nodiscard]] bool needsExternalLoadUpdates() const { return others_ > 0 && !queue_.empty(); }
+    /// Whether a call is queued while the upstream runs external requests, so that updates of their number are needed.
+    [[nodiscard]] bool needsExternalLoadUpdates() const { return externalRequests_ > 0 && !queue_.empty(); }
 
-    /// What to tell the sender of a request of @p route.
+    /// The load report for the sender of a request of @p route.
     [[nodiscard]] LoadReport report(const RouteName &route, TimePoint now) const;
-    /// From now to the answer of @p offer if it comes now, behind those that wait and go before it.
+    /// Expected time from @p now to the answer of @p offer if it arrives now, behind the queued calls that go before
+    /// it.
     [[nodiscard]] Duration expected(const WorkOffer &offer, TimePoint now) const;
 
     [[nodiscard]] std::size_t running() const { return running_.size(); }
     [[nodiscard]] std::size_t queued() const { return queue_.size(); }
     [[nodiscard]] bool isIdle() const { return running_.empty() && queue_.empty(); }
-    /// Requests handed to the upstream at most.
+    /// Maximum number of requests that run at the upstream at the same time.
     [[nodiscard]] std::uint32_t limit() const;
 
 private:
-    struct Running
+    struct RunningCall
     {
         RouteName route;
         TimePoint start;
-        /// The VM's at the start.
+        /// The VM's slowdown factor at the start.
         double slowdown = 1.0;
         UpstreamName disconnectedUpstream;
     };
 
-    struct Waiting
+    struct QueuedCall
     {
         WorkOffer offer;
         TimePoint arrival;
     };
 
-    /// Calls that take a slot, those from elsewhere included.
-    [[nodiscard]] std::size_t atWork() const { return running_.size() + others_; }
-    [[nodiscard]] bool hasFreeSlot() const { return atWork() < limit(); }
-    /// Whether another upstream broke off with both.
-    [[nodiscard]] bool areCompanions(const WorkOffer &offer, const UpstreamName &disconnectedUpstream) const;
-    /// Whether @p offer has to wait until a companion is done.
-    [[nodiscard]] bool awaitsCompanion(const WorkOffer &offer) const;
-    /// Whether a companion of @p offer runs or waits here.
-    [[nodiscard]] bool hasCompanion(const WorkOffer &offer) const;
-    /// Until the companion of @p offer that runs is done.
-    [[nodiscard]] Duration companionLeft(const WorkOffer &offer, TimePoint now) const;
-    /// Until @p running is done, as far as one knows.
-    [[nodiscard]] Duration timeLeft(const Running &running, TimePoint now) const;
-    /// When each slot is free for the next call, the soonest first.
+    /// Number of slots in use, external requests included.
+    [[nodiscard]] std::size_t occupiedSlots() const { return running_.size() + externalRequests_; }
+    [[nodiscard]] bool hasFreeSlot() const { return occupiedSlots() < limit(); }
+    /// Whether @p offer and a call with @p disconnectedUpstream were running when the same upstream disconnected.
+    [[nodiscard]] bool areCoSuspects(const WorkOffer &offer, const UpstreamName &disconnectedUpstream) const;
+    /// Whether @p offer has to wait until a running co-suspect ends.
+    [[nodiscard]] bool waitsForCoSuspect(const WorkOffer &offer) const;
+    /// Whether a co-suspect of @p offer runs or is queued here.
+    [[nodiscard]] bool hasCoSuspect(const WorkOffer &offer) const;
+    /// Expected time until the running co-suspects of @p offer end.
+    [[nodiscard]] Duration coSuspectTimeLeft(const WorkOffer &offer, TimePoint now) const;
+    /// Expected time until @p running ends.
+    [[nodiscard]] Duration timeLeft(const RunningCall &running, TimePoint now) const;
+    /// The times until each slot can take the next call, shortest first.
     [[nodiscard]] std::vector<Duration> slotsFreeAfter(TimePoint now) const;
-    /// Whether @p offer would start if it came now.
+    /// Whether @p offer would start at once if it arrived now.
     [[nodiscard]] bool startsAtOnce(const WorkOffer &offer, TimePoint now) const;
-    /// How long the upstream takes for a request of @p route that begins now, or after the spell if that is quicker.
+    /// Expected duration of a request of @p route that starts now, or after the slow period if that is quicker.
     [[nodiscard]] Duration serviceTime(const RouteName &route, TimePoint now) const;
-    /// Whether requests wait for the end of slow spells at all: not where work changes its pace with the VM.
-    [[nodiscard]] bool waitsForSlowPeriods() const;
-    /// Whether a request of @p route is done sooner if it begins after the VM's slow spell than if it begins now.
+    /// Whether requests wait for the end of slow periods at all. They don't if the speed of work follows the VM's
+    /// slowdown.
+    [[nodiscard]] bool mayWaitForSlowPeriodEnd() const;
+    /// Whether a request of @p route ends sooner if it starts after the VM's slow period than if it starts now.
     [[nodiscard]] bool waitsForSlowPeriodEnd(const RouteName &route, TimePoint now) const;
-    [[nodiscard]] WorkDuration workDuration(const Running &running, TimePoint now) const;
-    /// How many times longer than usual the upstream takes, as its answers and the requests under way show.
-    [[nodiscard]] double slowness(TimePoint now) const;
-    /// How long @p offer would wait.
+    [[nodiscard]] WorkDuration workDuration(const RunningCall &running, TimePoint now) const;
+    /// How many times longer than expected the upstream takes, judged by its answers and by the running requests.
+    [[nodiscard]] double upstreamSlowdown(TimePoint now) const;
+    /// How long @p offer would wait before it starts.
     [[nodiscard]] Duration expectedWait(const WorkOffer &offer, TimePoint now) const;
     [[nodiscard]] bool goesBefore(const WorkOffer &one, const WorkOffer &other, TimePoint now) const;
     [[nodiscard]] TimePoint latestStart(const WorkOffer &offer, TimePoint now) const;
-    /// When a queued call is refused.
-    [[nodiscard]] TimePoint giveUpTime(const Waiting &waiting, TimePoint now) const;
+    /// When a queued call is refused by expire().
+    [[nodiscard]] TimePoint expiryTime(const QueuedCall &queuedCall, TimePoint now) const;
     /// Whether @p offer misses its target if it begins at @p start.
     [[nodiscard]] bool isLate(const WorkOffer &offer, TimePoint start, TimePoint now) const;
-    /// Whether one more that will be late at @p start may wait.
-    [[nodiscard]] bool takesLateOnes(TimePoint start, TimePoint now) const;
+    /// Whether one more call may be queued that will miss its target if it starts at @p start.
+    [[nodiscard]] bool hasRoomForLateCall(TimePoint start, TimePoint now) const;
     [[nodiscard]] std::vector<CallId> startQueued(TimePoint now);
-    [[nodiscard]] std::vector<Waiting>::iterator next(TimePoint now);
+    [[nodiscard]] std::vector<QueuedCall>::iterator nextReady(TimePoint now);
     [[nodiscard]] Failure refusal(Reason reason, const WorkOffer &offer, TimePoint now) const;
     void start(const WorkOffer &offer, TimePoint now);
 
     WorkQueueSettings settings_;
     ServiceTimes times_;
-    std::unordered_map<CallId, Running> running_;
-    /// In the order of arrival; a few dozen at most, so that each decision looks at all of them.
-    std::vector<Waiting> queue_;
+    std::unordered_map<CallId, RunningCall> running_;
+    /// In order of arrival. There are a few dozen at most, so each decision scans all of them.
+    std::vector<QueuedCall> queue_;
     std::uint32_t slots_ = 1;
-    std::uint32_t others_ = 0;
+    std::uint32_t externalRequests_ = 0;
     VmSlowdown slowdown_;
     double failureShare_ = 0.0;
 };
--- a/tests/admission/stopadmissiontest.cpp
+++ b/tests/admission/stopadmissiontest.cpp
@@ -15,8 +15,8 @@
     return TimePoint(std::chrono::seconds(1000)) + Milliseconds(milliseconds);
 }
 
-/// Lookups take 50 to 90 ms, reports half a second, and one in fifty of them two seconds.
-StopAdmission trained()
+/// Records lookups of 50 to 90 ms and reports of half a second; one in fifty reports takes two seconds.
+StopAdmission trainedAdmission()
 {
     StopAdmission admission;
     for (int round = 0; round < 200; ++round) {
@@ -28,20 +28,20 @@
 
 }
 
-TEST_CASE("a node that does not stop takes everything")
+TEST_CASE("a node that is not stopping accepts all requests")
 {
-    const StopAdmission admission = trained();
+    const StopAdmission admission = trainedAdmission();
     CHECK(admission.takes(Report, at(60'000), at(0)));
     CHECK(admission.takes(RouteName("unknown"), at(60'000), at(0)));
     CHECK(admission.timeLeft(at(0)) == Duration{0});
 }
 
-// A report is taken 2.4 s before the end of the process and passed on. The longest of the forty that this node has seen
-// took 1.9 s; on a slow VM it takes 2.5. Its answer is made when the process that should deliver it is gone, and the
-// caller's connection breaks.
-TEST_CASE("a stopping node refuses what may outlast it, and takes the rest to the end")
+// Guards against requests that are cut off by the stop. A report is accepted 2.4 s before the end of the process. The
+// longest of the forty reports that this node has seen took 1.9 s, but a slow VM needs 2.5 s. The process ends before
+// the answer is complete, and the caller's connection breaks.
+TEST_CASE("a stopping node refuses requests that may outlive it and accepts the others until its end")
 {
-    StopAdmission admission = trained();
+    StopAdmission admission = trainedAdmission();
     admission.begin(at(6000));
     CHECK(admission.takes(Report, at(7500), at(1500)));
     CHECK_FALSE(admission.takes(Report, at(9000), at(3500)));
@@ -52,16 +52,17 @@
     CHECK(admission.timeLeft(at(4100)) == Milliseconds(1900));
 }
 
-// The grace time is shorter than the timeout of a route: nearly all its requests could still be answered.
-TEST_CASE("a short grace time does not turn away what is quick")
+// Guards against refusing requests that could still be answered. The grace time is shorter than the route's timeout,
+// but nearly all requests of the route are much shorter.
+TEST_CASE("quick requests are accepted although the grace time is short")
 {
-    StopAdmission admission = trained();
+    StopAdmission admission = trainedAdmission();
     admission.begin(at(1000));
     CHECK(admission.takes(Lookup, at(3000), at(0)));
     CHECK_FALSE(admission.takes(Report, at(3000), at(0)));
 }
 
-TEST_CASE("a stopping node goes by the deadline where nothing was answered yet")
+TEST_CASE("a stopping node judges a route without answers by the deadline")
 {
     StopAdmission admission;
     admission.begin(at(6000));
@@ -69,9 +70,9 @@
     CHECK_FALSE(admission.takes(Report, at(6100), at(3100)));
 }
 
-TEST_CASE("a closed node takes nothing")
+TEST_CASE("a closed node accepts no request")
 {
-    StopAdmission admission = trained();
+    StopAdmission admission = trainedAdmission();
     admission.begin(at(6000));
     admission.close();
     CHECK_FALSE(admission.takes(Lookup, at(1000), at(0)));
--- a/tests/admission/upstreamaccounttest.cpp
+++ b/tests/admission/upstreamaccounttest.cpp
@@ -12,8 +12,8 @@
     return TimePoint(std::chrono::seconds(1000)) + Milliseconds(milliseconds);
 }
 
-/// Calls 1 to @p count are written at time zero.
-UpstreamAccount accountOf(unsigned count)
+/// Returns an account in which calls 1 to @p count were written at time zero.
+UpstreamAccount accountWithCalls(unsigned count)
 {
     UpstreamAccount account;
     for (unsigned call = 1; call <= count; ++call) {
@@ -23,34 +23,34 @@
     return account;
 }
 
-void ask(UpstreamAccount &account, int askedAt, std::uint32_t held)
+void queryUpstream(UpstreamAccount &account, int sentAt, std::uint32_t held)
 {
-    account.asked(at(askedAt));
-    account.reported(held, at(askedAt + 2));
+    account.asked(at(sentAt));
+    account.reported(held, at(sentAt + 2));
 }
 
 }
 
-TEST_CASE("a call that the upstream does not count is lost, once answers on their way have arrived")
+TEST_CASE("a call that the upstream does not count is lost after the answers in flight have arrived")
 {
-    UpstreamAccount account = accountOf(2);
-    ask(account, 100, 2);
+    UpstreamAccount account = accountWithCalls(2);
+    queryUpstream(account, 100, 2);
     account.answered(CallId(1));
-    ask(account, 300, 0);
+    queryUpstream(account, 300, 0);
     CHECK(account.lost().empty());
-    ask(account, 450, 0);
+    queryUpstream(account, 450, 0);
     CHECK(account.lost() == std::vector<CallId>{CallId(2)});
     account.givenUp(CallId(2));
     CHECK(account.lost().empty());
 }
 
-// Guards against ending a request that runs in place of the one that was lost.
-TEST_CASE("which of several calls is lost shows when the others are answered")
+// Guards against ending a running request instead of the one that was lost.
+TEST_CASE("the lost one of several calls is identified when the others are answered")
 {
-    UpstreamAccount account = accountOf(3);
-    ask(account, 100, 2);
-    ask(account, 300, 2);
-    ask(account, 500, 2);
+    UpstreamAccount account = accountWithCalls(3);
+    queryUpstream(account, 100, 2);
+    queryUpstream(account, 300, 2);
+    queryUpstream(account, 500, 2);
     CHECK(account.lost().empty());
     account.answered(CallId(3));
     CHECK(account.lost().empty());
@@ -58,64 +58,64 @@
     CHECK(account.lost() == std::vector<CallId>{CallId(2)});
 }
 
-// Guards against ending a request whose answer was made just before the upstream counted.
-TEST_CASE("an answer that was on its way while the upstream counted is no loss of another call")
+// Guards against ending a request whose answer was sent just before the upstream counted.
+TEST_CASE("an answer in flight while the upstream counts does not make another call count as lost")
 {
-    UpstreamAccount account = accountOf(2);
-    ask(account, 90, 2);
-    ask(account, 100, 1);
+    UpstreamAccount account = accountWithCalls(2);
+    queryUpstream(account, 90, 2);
+    queryUpstream(account, 100, 1);
     account.answered(CallId(1));
-    ask(account, 300, 1);
-    ask(account, 500, 1);
+    queryUpstream(account, 300, 1);
+    queryUpstream(account, 500, 1);
     CHECK(account.lost().empty());
 }
 
-TEST_CASE("a call that was given up may have been the lost one")
+TEST_CASE("a call that was given up may have been the lost call")
 {
-    UpstreamAccount account = accountOf(3);
-    ask(account, 100, 2);
-    ask(account, 300, 2);
+    UpstreamAccount account = accountWithCalls(3);
+    queryUpstream(account, 100, 2);
+    queryUpstream(account, 300, 2);
     account.givenUp(CallId(1));
     account.answered(CallId(2));
     CHECK(account.lost().empty());
 }
 
-TEST_CASE("calls that were only just written, or are being written, need not be counted yet")
+TEST_CASE("calls that are being written or were just written are not expected in the count")
 {
-    UpstreamAccount account = accountOf(1);
-    ask(account, 60, 1);
+    UpstreamAccount account = accountWithCalls(1);
+    queryUpstream(account, 60, 1);
     account.answered(CallId(1));
     account.begun(CallId(2));
     account.written(CallId(2), at(100));
     account.begun(CallId(3));
-    ask(account, 120, 0);
-    ask(account, 300, 1);
-    ask(account, 500, 1);
+    queryUpstream(account, 120, 0);
+    queryUpstream(account, 300, 1);
+    queryUpstream(account, 500, 1);
     CHECK(account.lost().empty());
 }
 
-// Guards against an upstream that always says that it has nothing.
-TEST_CASE("an upstream that was never seen to count proves nothing")
+// Guards against an upstream that always reports zero requests.
+TEST_CASE("no call counts as lost at an upstream that always reports zero requests")
 {
-    UpstreamAccount account = accountOf(1);
+    UpstreamAccount account = accountWithCalls(1);
     for (int time = 100; time < 3000; time += 200) {
-        ask(account, time, 0);
+        queryUpstream(account, time, 0);
     }
     CHECK(account.lost().empty());
     CHECK(account.others() == 0);
 }
 
-TEST_CASE("what the upstream has beside the calls from here is work for others")
+TEST_CASE("requests at the upstream beyond this node's calls count as external requests")
 {
-    UpstreamAccount account = accountOf(2);
+    UpstreamAccount account = accountWithCalls(2);
     account.asked(at(100));
     account.begun(CallId(3));
     account.reported(6, at(102));
-    // The third may have been counted.
+    // The upstream may have counted the third call.
     CHECK(account.others() == 3);
     account.givenUp(CallId(1));
-    ask(account, 300, 3);
+    queryUpstream(account, 300, 3);
     CHECK(account.others() == 1);
-    ask(account, 500, 2);
+    queryUpstream(account, 500, 2);
     CHECK(account.others() == 0);
 }
--- a/tests/admission/vmslowdowntest.cpp
+++ b/tests/admission/vmslowdowntest.cpp
@@ -14,7 +14,7 @@
 
 }
 
-TEST_CASE("a VM that was never looked at runs at the usual pace")
+TEST_CASE("a VM without samples has no slowdown")
 {
     const VmSlowdown slowdown;
     CHECK(slowdown.factor() == 1.0);
@@ -22,7 +22,7 @@
     CHECK(slowdown.baselineTimeBetween(at(0), at(50)) == Milliseconds(50));
 }
 
-TEST_CASE("the length of slow spells is learned")
+TEST_CASE("the length of slow periods is learned")
 {
     VmSlowdown slowdown;
     for (int round = 0; round < 60; ++round) {
@@ -39,8 +39,9 @@
     CHECK(slowdown.afterSlowPeriod(at(200'000)) == 1.0);
 }
 
-// Nobody looked at the VM for seconds. The spell may have ended long ago, and its length must not be taken for seconds.
-TEST_CASE("a spell whose end was not seen does not count")
+// Guards against counting a gap between samples as a slow period. No sample was recorded for seconds, and the slow
+// period may have ended at any time in between.
+TEST_CASE("a slow period whose end was not observed does not change the mean length")
 {
     VmSlowdown slowdown;
     slowdown.record(1.0, at(0));
@@ -51,8 +52,9 @@
     CHECK(slowdown.slowPeriodLeft(at(9050)) == before);
 }
 
-// An upstream that has just started is twice as slow for seconds, and its VM has slow spells besides.
-TEST_CASE("what counts as slow is measured against the best pace of the last moments")
+// An upstream that has just started is twice as slow for seconds, and its VM has slow periods in addition. Only the
+// slow periods may be detected as such.
+TEST_CASE("slow periods are detected relative to the lowest recent slowdown")
 {
     VmSlowdown slowdown;
     slowdown.record(1.0, at(0));
@@ -65,7 +67,7 @@
     CHECK(slowdown.afterSlowPeriod(at(1250)) == 2.0);
 }
 
-TEST_CASE("work that changes its pace with the VM is measured by the paces on its way")
+TEST_CASE("the baseline time of work is computed from the slowdowns throughout the work")
 {
     VmSlowdown slowdown;
     slowdown.record(1.0, at(0));
@@ -75,7 +77,7 @@
     CHECK(slowdown.baselineTimeBetween(at(350), at(400)) == Milliseconds(50));
 }
 
-// Guards against work that begins in a slow spell of a VM of which a node that has just started knows nothing else.
+// Guards against work that starts in a slow period on a node that has just started and knows nothing else of its VM.
 TEST_CASE("the first pace that is seen is a slow spell if it is far from what a start explains")
 {
     VmSlowdown slow;
@@ -88,7 +90,7 @@
     CHECK(started.afterSlowPeriod(at(0)) == 2.0);
 }
 
-TEST_CASE("a VM that stays slow is taken as it is also when nothing else was ever seen")
+TEST_CASE("a VM that stays slow is not in a slow period, even if it was never seen faster")
 {
     VmSlowdown slowdown;
     for (int time = 0; time <= 2000; time += 50) {
--- a/tests/admission/workqueuepropertytest.cpp
+++ b/tests/admission/workqueuepropertytest.cpp
@@ -14,8 +14,8 @@
 
 enum class Stage { Running, Queued, Ended };
 
-/// A WorkQueue with a record of each call that was offered to it.
-struct Observed
+/// A WorkQueue with the stage of each call that was offered to it.
+struct ObservedQueue
 {
     WorkQueue queue;
     std::map<CallId, Stage> calls;
@@ -25,8 +25,8 @@
     [[nodiscard]] std::vector<CallId> at(Stage stage) const
     {
         std::vector<CallId> result;
-        for (const auto &[call, known] : calls) {
-            if (known == stage) {
+        for (const auto &[call, callStage] : calls) {
+            if (callStage == stage) {
                 result.push_back(call);
             }
         }
@@ -34,8 +34,8 @@
     }
 };
 
-/// Started calls were queued.
-void takeStarted(Observed &observed, const std::vector<CallId> &started)
+/// Records that calls started. They have to have been queued before.
+void recordStarted(ObservedQueue &observed, const std::vector<CallId> &started)
 {
     for (const CallId call : started) {
         RC_ASSERT(observed.calls.at(call) == Stage::Queued);
@@ -43,18 +43,19 @@
     }
 }
 
-/// Expired calls were queued, and their callers are told that nothing ran.
-void takeExpired(Observed &observed)
+/// Records the calls that expire and those that start then. Expired calls have to have been queued, and their callers
+/// have to be told that nothing ran.
+void recordExpired(ObservedQueue &observed)
 {
     for (const ExpiredCall &expired : observed.queue.expire(observed.now)) {
         RC_ASSERT(observed.calls.at(expired.call) == Stage::Queued);
         RC_ASSERT(expired.failure.verdict == Verdict::NotRun);
         observed.calls.at(expired.call) = Stage::Ended;
     }
-    takeStarted(observed, observed.queue.resume(observed.now));
+    recordStarted(observed, observed.queue.resume(observed.now));
 }
 
-void offerCall(Observed &observed)
+void offerCall(ObservedQueue &observed)
 {
     WorkOffer offer;
     offer.call = CallId{observed.nextId++};
@@ -75,7 +76,7 @@
     observed.calls[offer.call] = stage;
 }
 
-void endRunning(Observed &observed, bool answered)
+void endRunning(ObservedQueue &observed, bool answered)
 {
     const std::vector<CallId> running = observed.at(Stage::Running);
     if (running.empty()) {
@@ -83,56 +84,56 @@
     }
     const CallId call = *rc::gen::elementOf(running);
     observed.calls.at(call) = Stage::Ended;
-    takeStarted(observed, observed.queue.finish(call, answered, observed.now));
-    takeExpired(observed);
+    recordStarted(observed, observed.queue.finish(call, answered, observed.now));
+    recordExpired(observed);
 }
 
-void cancelAny(Observed &observed)
+void cancelAny(ObservedQueue &observed)
 {
     if (observed.calls.empty()) {
         return;
     }
     const CallId call = (*rc::gen::elementOf(observed.calls)).first;
-    Stage &known = observed.calls.at(call);
+    Stage &stage = observed.calls.at(call);
     const CancelOutcome outcome = observed.queue.cancel(call);
-    RC_ASSERT((outcome == CancelOutcome::WasQueued) == (known == Stage::Queued));
-    RC_ASSERT((outcome == CancelOutcome::InFlight) == (known == Stage::Running));
+    RC_ASSERT((outcome == CancelOutcome::WasQueued) == (stage == Stage::Queued));
+    RC_ASSERT((outcome == CancelOutcome::InFlight) == (stage == Stage::Running));
     if (outcome == CancelOutcome::WasQueued) {
-        known = Stage::Ended;
+        stage = Stage::Ended;
     }
 }
 
-void changeSlowdown(Observed &observed)
+void changeSlowdown(ObservedQueue &observed)
 {
     const auto percent = static_cast<std::uint16_t>(*rc::gen::element(0, 100, 150, 200, 400, 800));
-    takeStarted(observed, observed.queue.setSlowdown(percent, observed.now));
+    recordStarted(observed, observed.queue.setSlowdown(percent, observed.now));
 }
 
-void passTime(Observed &observed)
+void advanceTime(ObservedQueue &observed)
 {
     observed.now += Milliseconds{*rc::gen::inRange(0, 200)};
-    takeExpired(observed);
+    recordExpired(observed);
     const std::optional<TimePoint> next = observed.queue.nextExpiry(observed.now);
     const bool isLater = !next || *next > observed.now;
     RC_ASSERT(isLater);
 }
 
-void checkCounts(const Observed &observed)
+void checkCounts(const ObservedQueue &observed)
 {
     RC_ASSERT(observed.queue.running() == observed.at(Stage::Running).size());
     RC_ASSERT(observed.queue.queued() == observed.at(Stage::Queued).size());
     RC_ASSERT(observed.queue.running() <= observed.queue.limit());
-    // With a slot free, calls wait only for the end of a slow spell, and that is watched.
-    const bool idles = observed.queue.running() < observed.queue.limit() && observed.queue.queued() > 0;
-    RC_ASSERT(!idles || observed.queue.nextExpiry(observed.now).has_value());
+    // While a slot is free, calls wait only for the end of a slow period, and nextExpiry() covers that end.
+    const bool hasIdleSlot = observed.queue.running() < observed.queue.limit() && observed.queue.queued() > 0;
+    RC_ASSERT(!hasIdleSlot || observed.queue.nextExpiry(observed.now).has_value());
 }
 
 }
 
-TEST_CASE("no interleaving passes the limit, loses a call or ends one twice")
+TEST_CASE("no sequence of events exceeds the limit, loses a call or ends a call twice")
 {
-    const bool held = rc::check([] {
-        Observed observed;
+    const bool holds = rc::check([] {
+        ObservedQueue observed;
         (void)observed.queue.setSlots(*rc::gen::inRange(1U, 8U), observed.now);
         const int steps = *rc::gen::inRange(1, 120);
         for (int step = 0; step < steps; ++step) {
@@ -152,7 +153,7 @@
                 changeSlowdown(observed);
                 break;
             default:
-                passTime(observed);
+                advanceTime(observed);
             }
             checkCounts(observed);
         }
@@ -160,11 +161,11 @@
             endRunning(observed, true);
         }
         observed.now += std::chrono::seconds{60};
-        passTime(observed);
+        advanceTime(observed);
         while (!observed.at(Stage::Running).empty()) {
             endRunning(observed, true);
         }
         RC_ASSERT(observed.queue.isIdle());
     });
-    CHECK(held);
+    CHECK(holds);
 }
--- a/tests/admission/workqueuetest.cpp
+++ b/tests/admission/workqueuetest.cpp
@@ -20,7 +20,7 @@
     return TimePoint(std::chrono::seconds(1000)) + Milliseconds(milliseconds);
 }
 
-/// A request that comes at @p now, wants its answer in 300 ms and is given up after a second.
+/// A request that arrives at @p now, has a target of 300 ms and a deadline of one second.
 WorkOffer offerOf(std::uint64_t call, int now, std::uint8_t priority = 1)
 {
     WorkOffer offer;
@@ -32,7 +32,7 @@
     return offer;
 }
 
-/// A queue with six slots that knows a read to take 100 ms.
+/// A queue with six slots in which a read takes 100 ms.
 WorkQueue trainedQueue()
 {
     WorkQueue queue;
@@ -58,9 +58,9 @@
 
 }
 
-// Six slots, all taken: the upstream slows itself when it is four fifths full, and each request takes 1.7 times as
-// long. Six at once finish 3.5 in the time of one request, four finish four.
-TEST_CASE("the upstream is kept below the fill from which it slows itself")
+// Guards against filling all slots. An upstream with six slots slows itself down when it is four fifths full, and each
+// request takes 1.7 times as long: six requests at once complete 3.5 in the time of one request, four complete four.
+TEST_CASE("the upstream is kept below the fill level at which it slows itself down")
 {
     WorkQueue queue;
     (void)queue.setSlots(6, at(0));
@@ -73,9 +73,9 @@
     CHECK(queue.limit() == 1);
 }
 
-// A burst doubles the load for some seconds. In the order of arrival a payment that came late was late itself, behind
-// reads that had missed their target long before.
-TEST_CASE("what can still meet its target comes first, by rank, then the rest")
+// Guards against payments that miss their target behind reads. A burst doubles the load for some seconds. In order of
+// arrival, a payment that arrives late would wait behind reads that have missed their target long before.
+TEST_CASE("requests that can still meet their target start first, by priority, then the others")
 {
     WorkQueue queue = trainedQueue();
     fill(queue, 0);
@@ -89,9 +89,10 @@
     CHECK(queue.finish(CallId(3), true, at(30)) == std::vector<CallId>{CallId(10)});
 }
 
-// A VM turns four times slower for some tenths of a second. Its node knows, the senders don't yet: a read of 100 ms
-// with a target of 300 ms was lost there while the next upstream stood idle.
-TEST_CASE("a request goes elsewhere when the VM is slow now and the sender knows a better place")
+// Guards against requests that are lost on a slow VM. The VM becomes four times slower for some tenths of a second. Its
+// node knows that, but the senders don't yet: a read of 100 ms with a target of 300 ms misses it there while the next
+// upstream is idle.
+TEST_CASE("a request is declined when the VM is slow and the sender has a better upstream")
 {
     WorkQueue queue = trainedQueue();
     WorkOffer offer = offerOf(1, 0);
@@ -108,10 +109,10 @@
     CHECK(queue.setSlowdown(100, at(3)) == std::vector<CallId>{CallId(2)});
 }
 
-// A quarter of the VMs is four times slower at a time, each for some tenths of a second. A read of 100 ms that began in
-// such a spell took 400 ms to its end, also when the spell was over after 50 ms, and kept its slot meanwhile: in bursts
-// the slots were taken by work that had begun at the wrong moment.
-TEST_CASE("work begins after a slow spell if that is quicker")
+// Guards against slots that are occupied by slow work during bursts. A quarter of the VMs is four times slower at any
+// time, each for some tenths of a second. A read of 100 ms that starts in a slow period takes 400 ms, even if the
+// period ends after 50 ms, and keeps its slot meanwhile.
+TEST_CASE("a request starts after a slow period if that is quicker")
 {
     WorkQueue queue = trainedQueue();
     (void)queue.setSlowdown(100, at(-50));
@@ -123,9 +124,9 @@
     CHECK_FALSE(queue.needsSlowdownUpdates(at(60)));
 }
 
-// An upstream that has just started is slower for seconds. Work that waited for it to be quicker would have waited for
-// its whole time.
-TEST_CASE("work does not wait for a VM that stays slow")
+// Guards against requests that wait in vain. An upstream that has just started is slower for seconds, so that a request
+// that waits for it to become faster would wait until its deadline.
+TEST_CASE("requests do not wait for a VM that stays slow")
 {
     WorkQueue queue = trainedQueue();
     (void)queue.setSlowdown(100, at(-50));
@@ -141,8 +142,8 @@
     CHECK(std::holds_alternative<Admitted>(queue.offer(offerOf(2, 1100), at(1100))));
 }
 
-// A lookup of 20 ms takes 80 ms in a slow spell that lasts 200 ms: it is done before the spell is over.
-TEST_CASE("short work begins in a slow spell")
+// A lookup of 20 ms takes 80 ms in a slow period that lasts 200 ms, so it ends before the slow period does.
+TEST_CASE("a short request starts during a slow period")
 {
     WorkQueue queue;
     (void)queue.setSlots(6, at(-1000));
@@ -153,9 +154,9 @@
     CHECK(std::holds_alternative<Admitted>(queue.offer(offerOf(1, 0), at(0))));
 }
 
-// On other VMs work goes on at the usual pace as soon as a slow spell is over. What was learned from it must show that
-// waiting for the end of a spell only loses time there.
-TEST_CASE("work begins in slow spells where it changes its pace with the VM")
+// Guards against waiting where it only loses time. On some VMs work continues at the baseline speed as soon as a slow
+// period ends. The queue has to learn this from the durations of the requests.
+TEST_CASE("requests start during slow periods if their speed follows the VM's slowdown")
 {
     WorkQueue queue = trainedQueue();
     std::uint64_t call = 0;
@@ -163,7 +164,7 @@
         (void)queue.setSlowdown(100, at(begin));
         ++call;
         REQUIRE(std::holds_alternative<Admitted>(queue.offer(offerOf(call, begin), at(begin))));
-        // 20 ms of its 100 at the usual pace, 50 in a spell of 200 ms, the rest after it.
+        // 20 ms of the 100 ms run at the baseline speed, 50 ms in a slow period of 200 ms, the rest after it.
         (void)queue.setSlowdown(400, at(begin + 20));
         (void)queue.setSlowdown(100, at(begin + 220));
         (void)queue.finish(CallId(call), true, at(begin + 250));
@@ -172,23 +173,24 @@
     CHECK(std::holds_alternative<Admitted>(queue.offer(offerOf(100, 20'000), at(20'000))));
 }
 
-// An upstream that fails two of five requests answers quickly, and quick answers drew more requests to it.
-TEST_CASE("an upstream that fails is taken for a slow one")
+// Guards against quick failures that attract requests: an upstream that fails two of five requests answers quickly, and
+// looks like a fast one.
+TEST_CASE("failures increase the expected time of an upstream")
 {
     WorkQueue queue = trainedQueue();
-    const Duration sound = queue.expected(offerOf(1, 0), at(0));
+    const Duration healthy = queue.expected(offerOf(1, 0), at(0));
     queue.setFailureShare(0.4);
-    CHECK(queue.expected(offerOf(1, 0), at(0)) > 2 * sound);
+    CHECK(queue.expected(offerOf(1, 0), at(0)) > 2 * healthy);
     CHECK(queue.report(Read, at(0)).failurePercent == 40);
 }
 
-TEST_CASE("a request that can't be served in time is refused at once, with a time to come back")
+TEST_CASE("a request that can't be served in time is refused at once, with a retry delay")
 {
     WorkQueue queue = trainedQueue();
     fill(queue, 0);
-    WorkOffer hopeless = offerOf(10, 0);
-    hopeless.deadline = at(120);
-    const OfferOutcome outcome = queue.offer(hopeless, at(0));
+    WorkOffer unservable = offerOf(10, 0);
+    unservable.deadline = at(120);
+    const OfferOutcome outcome = queue.offer(unservable, at(0));
     REQUIRE(reasonOf(outcome) == Reason::Overloaded);
     CHECK(std::get<Refused>(outcome).failure.verdict == Verdict::NotRun);
     CHECK(std::get<Refused>(outcome).failure.retryAfter >= Milliseconds(50));
@@ -196,7 +198,7 @@
     CHECK(reasonOf(queue.offer(offerOf(11, -2000), at(0))) == Reason::DeadlinePassed);
 }
 
-TEST_CASE("a queued request that became hopeless is handed back, and never started")
+TEST_CASE("a queued request that can no longer meet its deadline expires and never starts")
 {
     WorkQueue queue = trainedQueue();
     fill(queue, 0);
@@ -214,11 +216,11 @@
     CHECK(queue.queued() == 0);
 }
 
-TEST_CASE("the expected time counts the work under way and the work that waits")
+TEST_CASE("the expected time includes the running and the queued requests")
 {
     WorkQueue queue = trainedQueue();
     const auto expected = [&queue](int now) {
-        // Behind all that waits: its target is later than theirs.
+        // This request goes behind all queued requests because its target is later than theirs.
         WorkOffer last = offerOf(99, now);
         last.target = at(now + 900);
         return std::chrono::duration_cast<Milliseconds>(queue.expected(last, at(now))).count();
@@ -235,9 +237,9 @@
     CHECK(expected(40) > 450);
 }
 
-// Work that began in a slow spell took four times as long. Taken for the usual time of its route it would have turned
-// the requests of the next seconds away.
-TEST_CASE("slow spells are not taken for longer work")
+// Guards against slow periods that raise the baseline of a route. Work that starts in a slow period takes four times as
+// long. If this counted as the route's baseline, the requests of the next seconds would be declined.
+TEST_CASE("slow periods do not change the service time of a route")
 {
     WorkQueue queue = trainedQueue();
     (void)queue.setSlowdown(400, at(0));
@@ -254,10 +256,10 @@
     CHECK(queue.expected(offerOf(99, 20'000), at(20'000)) == Milliseconds(400));
 }
 
-// A payment waits for an internal check of 20 ms. The check goes before the reads that wait at its upstream, but was
-// told their whole wait, found that too long, and was turned away from one upstream after the other until its payment
-// failed.
-TEST_CASE("a request is told the wait of those before it, not of those behind it")
+// Guards against declining an urgent request because of calls that it goes before. A payment waits for an internal
+// check of 20 ms, which goes before the queued reads of its upstream. If the check is judged by the wait of the whole
+// queue, one upstream after the other declines it until its payment fails.
+TEST_CASE("the expected time of a request includes the queued requests before it, not those behind it")
 {
     WorkQueue queue = trainedQueue();
     fill(queue, 0);
@@ -272,24 +274,24 @@
     CHECK(queue.finish(CallId(1), true, at(30)) == std::vector<CallId>{CallId(20)});
 }
 
-// For some seconds twice as many reads come as can be served. Those that missed their target waited on behind the new
-// ones, up to their deadline, and were refused then, when it was too late to come back; others were begun with a fifth
-// of their time left and cut.
-TEST_CASE("under a lasting overload late requests are refused early, and none is begun in vain")
+// Guards against late refusals and cut-off work under overload. For some seconds, twice as many reads arrive as can be
+// served. Reads that have missed their target would wait behind new ones and be refused at their deadline, too late for
+// a retry; others would start with a fifth of their time left and be cut off.
+TEST_CASE("during a lasting overload late requests are refused early, and none starts too late to end in time")
 {
     WorkQueue queue = trainedQueue();
     std::uint64_t call = 100;
     int inTime = 0;
-    int heldLong = 0;
-    int begunInVain = 0;
+    int refusedLate = 0;
+    int startedTooLate = 0;
     std::unordered_map<std::uint64_t, int> arrivals;
     std::vector<std::pair<int, std::uint64_t>> ends;
     const auto begin = [&](std::uint64_t which, int now) {
         ends.emplace_back(now + 100, which);
         inTime += now + 100 <= arrivals[which] + 300 ? 1 : 0;
-        begunInVain += now + 100 > arrivals[which] + 1000 ? 1 : 0;
+        startedTooLate += now + 100 > arrivals[which] + 1000 ? 1 : 0;
     };
-    const auto refuse = [&](std::uint64_t which, int now) { heldLong += now - arrivals[which] > 500 ? 1 : 0; };
+    const auto refuse = [&](std::uint64_t which, int now) { refusedLate += now - arrivals[which] > 500 ? 1 : 0; };
     for (int now = 0; now < 5000; ++now) {
         for (std::size_t index = 0; index < ends.size();) {
             if (ends[index].first > now) {
@@ -305,7 +307,7 @@
         for (const ExpiredCall &expired : queue.expire(at(now))) {
             refuse(expired.call.value(), now);
         }
-        // Eighty a second, where four slots of 100 ms finish forty.
+        // Eighty requests arrive a second, while four slots of 100 ms complete forty.
         if (now % 25 == 0) {
             for (int count = 0; count < 2; ++count) {
                 arrivals[++call] = now;
@@ -319,13 +321,13 @@
         }
     }
     CHECK(inTime > 170);
-    CHECK(heldLong == 0);
-    CHECK(begunInVain == 0);
+    CHECK(refusedLate == 0);
+    CHECK(startedTooLate == 0);
 }
 
-// Three upstreams of a service work twelve times slower for nine seconds, their VMs at their usual pace. No request
-// there ended before its caller gave up, so that no answer told how long it takes: they looked idle, and a third of all
-// reads was late.
+// Guards against an upstream that looks idle because none of its answers arrives in time. Three upstreams of a service
+// work twelve times slower for nine seconds while their VMs are not slowed down. All callers give up before an answer
+// arrives, so no answer shows the slowdown, and a third of all reads is late.
 TEST_CASE("an upstream that answers nobody in time is left alone, and tried again later")
 {
     WorkQueue queue = trainedQueue();
@@ -335,12 +337,12 @@
     offer = offerOf(2, 100);
     offer.declineThreshold = Milliseconds(180);
     REQUIRE(std::holds_alternative<Admitted>(queue.offer(offer, at(100))));
-    // While they run: far beyond their usual time.
+    // While both requests run, far beyond their expected time.
     offer = offerOf(3, 700);
     offer.declineThreshold = Milliseconds(180);
     CHECK(reasonOf(queue.offer(offer, at(700))) == Reason::Declined);
     CHECK(queue.report(Read, at(700)).slowdownPercent > 200);
-    // And after both were given up.
+    // After both requests were given up.
     (void)queue.finish(CallId(1), false, at(800));
     (void)queue.finish(CallId(2), false, at(900));
     offer = offerOf(4, 950);
@@ -351,7 +353,7 @@
     CHECK(std::holds_alternative<Admitted>(queue.offer(offer, at(8000))));
 }
 
-TEST_CASE("a caller that gives up early says nothing of the upstream")
+TEST_CASE("a request that is given up early does not change the expected time")
 {
     WorkQueue queue = trainedQueue();
     for (std::uint64_t call = 1; call < 10; ++call) {
@@ -361,7 +363,7 @@
     CHECK(queue.expected(offerOf(20, 50), at(50)) == Milliseconds(100));
 }
 
-TEST_CASE("as many late requests wait as run at a time, and none for long")
+TEST_CASE("at most as many late requests are queued as can run, and only for a short time")
 {
     WorkQueue queue = trainedQueue();
     fill(queue, 0);
@@ -377,7 +379,7 @@
     CHECK(queue.expire(at(100)).size() == queued);
 }
 
-TEST_CASE("a cancelled request leaves the queue; one at the upstream keeps its slot")
+TEST_CASE("a cancelled request leaves the queue, but a running one keeps its slot")
 {
     WorkQueue queue = trainedQueue();
     fill(queue, 0);
@@ -389,31 +391,33 @@
     CHECK(queue.finish(CallId(77), true, at(1)).empty());
 }
 
-// Guards against a bystander that meets the request that ended its upstream at the next one, and is accused with it.
-TEST_CASE("of the requests that the same upstream broke off with, one at a time is at the upstream")
+// Guards against suspecting an unrelated request. If it runs again beside the request that crashed its upstream, the
+// next upstream crashes too, and both requests are suspected.
+TEST_CASE("requests that were running when the same upstream disconnected run one at a time")
 {
     WorkQueue queue = trainedQueue();
-    const auto brokenOff = [](std::uint64_t call, Duration declineThreshold, const char *upstream = "i-1") {
+    const auto suspectOffer = [](std::uint64_t call, Duration declineThreshold, const char *upstream = "i-1") {
         WorkOffer offer = offerOf(call, 0);
         offer.disconnectedUpstream = UpstreamName(upstream);
         offer.declineThreshold = declineThreshold;
         return offer;
     };
-    CHECK(std::holds_alternative<Admitted>(queue.offer(brokenOff(1, Milliseconds(250)), at(0))));
+    CHECK(std::holds_alternative<Admitted>(queue.offer(suspectOffer(1, Milliseconds(250)), at(0))));
     CHECK(std::holds_alternative<Admitted>(queue.offer(offerOf(2, 0), at(0))));
-    CHECK(reasonOf(queue.offer(brokenOff(3, Milliseconds(250)), at(0))) == Reason::Declined);
-    // Nobody else takes these two.
-    CHECK(queue.expected(brokenOff(4, Milliseconds(0)), at(0)) == Milliseconds(200));
-    CHECK(std::holds_alternative<Queued>(queue.offer(brokenOff(4, Milliseconds(0)), at(0))));
-    CHECK(std::holds_alternative<Queued>(queue.offer(brokenOff(5, Milliseconds(0)), at(0))));
+    CHECK(reasonOf(queue.offer(suspectOffer(3, Milliseconds(250)), at(0))) == Reason::Declined);
+    // The next two requests can't go to another upstream.
+    CHECK(queue.expected(suspectOffer(4, Milliseconds(0)), at(0)) == Milliseconds(200));
+    CHECK(std::holds_alternative<Queued>(queue.offer(suspectOffer(4, Milliseconds(0)), at(0))));
+    CHECK(std::holds_alternative<Queued>(queue.offer(suspectOffer(5, Milliseconds(0)), at(0))));
     CHECK(queue.finish(CallId(2), true, at(50)).empty());
     CHECK(queue.finish(CallId(1), true, at(100)) == std::vector<CallId>{CallId(4)});
-    CHECK(reasonOf(queue.offer(brokenOff(6, Milliseconds(250)), at(100))) == Reason::Declined);
+    CHECK(reasonOf(queue.offer(suspectOffer(6, Milliseconds(250)), at(100))) == Reason::Declined);
     CHECK(queue.finish(CallId(4), true, at(200)) == std::vector<CallId>{CallId(5)});
 }
 
-// Guards against an availability zone that is lost: what its upstreams held would be served one after the other.
-TEST_CASE("requests that different upstreams broke off with run side by side")
+// Guards against slow recovery from the loss of an availability zone: the requests that its upstreams were running
+// would run one after the other.
+TEST_CASE("requests that were running when different upstreams disconnected run concurrently")
 {
     WorkQueue queue = trainedQueue();
     for (std::uint64_t call = 1; call <= 3; ++call) {
