--- a/src/routing/exchangesizes.cpp
+++ b/src/routing/exchangesizes.cpp
@@ -6,17 +6,17 @@
 namespace
 {
 
-/// Of the newest answer in the mean of its route, and of all routes.
+/// Weight of the newest answer in the mean of its route and in the mean of all routes.
 constexpr double Gain = 0.1;
 
 }
 
-void ExchangeSizes::record(const RouteName &route, Bytes answer)
+void ExchangeSizes::record(const RouteName &route, Bytes answerSize)
 {
-    const auto size = static_cast<double>(answer.value());
-    const auto [place, isNew] = bytes_.try_emplace(route, size);
+    const auto size = static_cast<double>(answerSize.value());
+    const auto [entry, isNew] = bytes_.try_emplace(route, size);
     if (!isNew) {
-        place->second += Gain * (size - place->second);
+        entry->second += Gain * (size - entry->second);
     }
     overallBytes_ += Gain * (size - overallBytes_);
 }
--- a/src/routing/exchangesizes.h
+++ b/src/routing/exchangesizes.h
@@ -8,16 +8,18 @@
 namespace Egretpath
 {
 
-/// How much the answers of each route weigh, as seen at one ingress.
+/// Tracks the answer sizes of each route, as seen at one ingress.
 ///
-/// What a request costs on a link that is paid for by volume is known only when its answer is there: a report of many
-/// KiB and a lookup of some hundred bytes look alike when they come. Thread safety: none; one owner. Errors: none.
+/// The cost of a request on a link that is billed by volume is known only when its answer has arrived: a report of many
+/// KiB and a lookup of some hundred bytes look alike when they arrive.
+///
+/// Thread safety: none; one owner. Errors: none.
 class ExchangeSizes
 {
 public:
-    /// An answer to a request of @p route had a body of @p answer.
-    void record(const RouteName &route, Bytes answer);
-    /// What to expect of @p route: its mean; of a route without answers the mean of all, and nothing before any came.
+    /// Records that an answer to a request of @p route had a body of @p answerSize.
+    void record(const RouteName &route, Bytes answerSize);
+    /// The mean answer size of @p route. For a route without answers, the mean of all routes; zero before any answer.
     [[nodiscard]] Bytes typicalAnswerSize(const RouteName &route) const;
 
 private:
--- a/src/routing/link.cpp
+++ b/src/routing/link.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::array<std::string_view, LinkKindCount> LinkWords{"in-zone", "between-zones", "between-regions"};
+constexpr std::array<std::string_view, LinkKindCount> LinkNames{"in-zone", "between-zones", "between-regions"};
 
 }
 
@@ -22,7 +22,7 @@
 
 std::string_view toString(LinkKind link)
 {
-    return LinkWords.at(static_cast<std::size_t>(link));
+    return LinkNames.at(static_cast<std::size_t>(link));
 }
 
 }
--- a/src/routing/link.h
+++ b/src/routing/link.h
@@ -8,20 +8,20 @@
 namespace Egretpath
 {
 
-/// What a message crosses on its way; later ones are slower and dearer.
+/// The kind of link that a message crosses. Later values are slower and more expensive.
 enum class LinkKind : std::uint8_t {
     InZone,
     BetweenZones,
-    /// Paid for by volume.
+    /// Billed by volume.
     BetweenRegions,
 };
 
 inline constexpr std::size_t LinkKindCount = 3;
 
-/// The link between two places. Thread safety: safe. Errors: none.
+/// The kind of link between two locations. Thread safety: safe. Errors: none.
 [[nodiscard]] LinkKind linkBetween(const Location &one, const Location &other);
 
-/// The stable word for @p link in logs and figures. Thread safety: safe.
+/// The stable name of @p link in logs and metrics. Thread safety: safe.
 [[nodiscard]] std::string_view toString(LinkKind link);
 
 }
--- a/src/routing/placementview.cpp
+++ b/src/routing/placementview.cpp
@@ -20,7 +20,7 @@
 
 constexpr double Percent = 100.0;
 
-double mix(double share, double one, double other)
+double weightedMean(double share, double one, double other)
 {
     return share * one + (1.0 - share) * other;
 }
@@ -31,8 +31,8 @@
     : settings_(settings)
 {
     if (settings_.assumesTypical) {
-        typical_.slowdown = settings_.typicalSlowdown;
-        typical_.recoveredSlowdown = settings_.typicalSlowdown;
+        typicalLoad_.slowdown = settings_.typicalSlowdown;
+        typicalLoad_.recoveredSlowdown = settings_.typicalSlowdown;
     }
 }
 
@@ -52,15 +52,15 @@
 void PlacementView::onReport(const UpstreamName &upstream, const LoadReport &report, TimePoint now)
 {
     Record &record = records_[upstream];
-    record.load = loadIn(report);
+    record.load = loadFrom(report);
     record.hasReport = true;
     const double gain = settings_.typicalGain;
     if (settings_.assumesTypical) {
-        typical_ = mixed(gain, record.load, typical_);
+        typicalLoad_ = weightedLoad(gain, record.load, typicalLoad_);
     }
     if (report.meanServiceMicroseconds > 0) {
         const double mean = inSeconds(Microseconds(report.meanServiceMicroseconds));
-        meanServiceSeconds_ = meanServiceSeconds_ > 0.0 ? mix(gain, mean, meanServiceSeconds_) : mean;
+        meanServiceSeconds_ = meanServiceSeconds_ > 0.0 ? weightedMean(gain, mean, meanServiceSeconds_) : mean;
     }
     record.slots = std::max(report.slots, 1U);
     record.reportTime = now;
@@ -70,23 +70,23 @@
 void PlacementView::onFailed(const UpstreamName &upstream, TimePoint now)
 {
     Record &record = records_[upstream];
-    record.failures = failuresOf(record, now) + 1.0;
+    record.failures = recentFailures(record, now) + 1.0;
     record.failureTime = now;
 }
 
 void PlacementView::onUnreachable(const UpstreamName &upstream, TimePoint now)
 {
-    constexpr std::uint32_t MostDoublings = 10;
+    constexpr std::uint32_t MaxDoublings = 10;
     Record &record = records_[upstream];
-    const Duration hold = settings_.unreachableBase * (1U << std::min(record.unreachable, MostDoublings));
-    ++record.unreachable;
-    record.ejectedUntil = now + std::min(hold, settings_.unreachableLimit);
+    const Duration hold = settings_.unreachableBase * (1U << std::min(record.unreachableCount, MaxDoublings));
+    ++record.unreachableCount;
+    record.ejectedUntil = now + std::min(hold, settings_.maxUnreachableHold);
 }
 
 void PlacementView::onReached(const UpstreamName &upstream)
 {
     Record &record = records_[upstream];
-    record.unreachable = 0;
+    record.unreachableCount = 0;
 }
 
 void PlacementView::onDraining(const UpstreamName &upstream, Duration hold, TimePoint now)
@@ -95,17 +95,17 @@
     record.ejectedUntil = std::max(record.ejectedUntil, now + hold);
 }
 
-PlacementView::Load PlacementView::loadIn(const LoadReport &report) const
+PlacementView::Load PlacementView::loadFrom(const LoadReport &report) const
 {
     const double slots = std::max(report.slots, 1U);
-    const bool full = report.inFlight >= report.slots;
+    const bool isFull = report.inFlight >= report.slots;
     Load load;
     load.slowdown = report.slowdownPercent > 0 ? report.slowdownPercent / Percent : 1.0;
     load.slowPeriodSeconds = inSeconds(Microseconds(report.slowPeriodLeftMicroseconds));
     load.recoveredSlowdown =
         report.recoveredSlowdownPercent > 0 ? report.recoveredSlowdownPercent / Percent : load.slowdown;
-    load.urgentWait = full ? 1.0 / slots : 0.0;
-    load.wait = full ? (1.0 + report.queued) / slots : 0.0;
+    load.urgentCallsAhead = isFull ? 1.0 / slots : 0.0;
+    load.callsAhead = isFull ? (1.0 + report.queued) / slots : 0.0;
     load.failureShare = report.failurePercent / Percent;
     if (settings_.countsDelay) {
         load.delaySeconds = inSeconds(Microseconds(report.arrivalDelayMicroseconds));
@@ -113,28 +113,29 @@
     return load;
 }
 
-PlacementView::Load PlacementView::loadOf(const Record &record, TimePoint now) const
+PlacementView::Load PlacementView::estimatedLoad(const Record &record, TimePoint now) const
 {
-    const double fresh = record.hasReport ? freshness(record.reportTime, settings_.reportMemory, now) : 0.0;
-    Load load = mixed(fresh, record.load, typical_);
-    // Links and processors of nodes differ for good, so that an old delay still says more than the others' do.
-    load.delaySeconds = record.hasReport ? record.load.delaySeconds : typical_.delaySeconds;
+    const double reportWeight = record.hasReport ? freshness(record.reportTime, settings_.reportMemory, now) : 0.0;
+    Load load = weightedLoad(reportWeight, record.load, typicalLoad_);
+    // Links and processors of nodes differ permanently, so an old delay of this node is a better estimate than the
+    // typical delay of the others.
+    load.delaySeconds = record.hasReport ? record.load.delaySeconds : typicalLoad_.delaySeconds;
     const double sinceReport = std::max(0.0, static_cast<double>(record.inFlight) - record.inFlightAtReport);
-    load.wait += settings_.ownRequestWeight * sinceReport / record.slots;
-    load.urgentWait += settings_.ownRequestWeight * sinceReport / record.slots;
+    load.callsAhead += settings_.ownRequestWeight * sinceReport / record.slots;
+    load.urgentCallsAhead += settings_.ownRequestWeight * sinceReport / record.slots;
     return load;
 }
 
-PlacementView::Load PlacementView::mixed(double share, const Load &one, const Load &other)
+PlacementView::Load PlacementView::weightedLoad(double share, const Load &one, const Load &other)
 {
     Load load;
-    load.slowdown = mix(share, one.slowdown, other.slowdown);
-    load.slowPeriodSeconds = mix(share, one.slowPeriodSeconds, other.slowPeriodSeconds);
-    load.recoveredSlowdown = mix(share, one.recoveredSlowdown, other.recoveredSlowdown);
-    load.urgentWait = mix(share, one.urgentWait, other.urgentWait);
-    load.wait = mix(share, one.wait, other.wait);
-    load.failureShare = mix(share, one.failureShare, other.failureShare);
-    load.delaySeconds = mix(share, one.delaySeconds, other.delaySeconds);
+    load.slowdown = weightedMean(share, one.slowdown, other.slowdown);
+    load.slowPeriodSeconds = weightedMean(share, one.slowPeriodSeconds, other.slowPeriodSeconds);
+    load.recoveredSlowdown = weightedMean(share, one.recoveredSlowdown, other.recoveredSlowdown);
+    load.urgentCallsAhead = weightedMean(share, one.urgentCallsAhead, other.urgentCallsAhead);
+    load.callsAhead = weightedMean(share, one.callsAhead, other.callsAhead);
+    load.failureShare = weightedMean(share, one.failureShare, other.failureShare);
+    load.delaySeconds = weightedMean(share, one.delaySeconds, other.delaySeconds);
     return load;
 }
 
@@ -146,13 +147,14 @@
 Duration PlacementView::expected(const UpstreamName &upstream, const PlacementDemand &demand, TimePoint now) const
 {
     const auto found = records_.find(upstream);
-    const Load load = found == records_.end() ? typical_ : loadOf(found->second, now);
-    const double failures = found == records_.end() ? 0.0 : failuresOf(found->second, now);
+    const Load load = found == records_.end() ? typicalLoad_ : estimatedLoad(found->second, now);
+    const double failures = found == records_.end() ? 0.0 : recentFailures(found->second, now);
     const double baseline = inSeconds(demand.baselineTime);
-    const double ahead = meanServiceSeconds_ > 0.0 ? meanServiceSeconds_ : baseline;
-    const double wait = workSeconds(load, ahead) * (demand.urgent ? load.urgentWait : load.wait);
+    const double aheadSeconds = meanServiceSeconds_ > 0.0 ? meanServiceSeconds_ : baseline;
+    const double queueSeconds =
+        workSeconds(load, aheadSeconds) * (demand.urgent ? load.urgentCallsAhead : load.callsAhead);
     const double penalty = 1.0 + settings_.failureShareFactor * load.failureShare + settings_.failurePenalty * failures;
-    return fromSeconds(load.delaySeconds + (wait + workSeconds(load, baseline)) * penalty);
+    return fromSeconds(load.delaySeconds + (queueSeconds + workSeconds(load, baseline)) * penalty);
 }
 
 bool PlacementView::isEjected(const UpstreamName &upstream, TimePoint now) const
@@ -176,7 +178,7 @@
     return 1.0 - freshness(found->second.reportTime, settings_.reportMemory, now);
 }
 
-double PlacementView::failuresOf(const Record &record, TimePoint now) const
+double PlacementView::recentFailures(const Record &record, TimePoint now) const
 {
     return record.failures == 0.0 ? 0.0 : record.failures * freshness(record.failureTime, settings_.failureMemory, now);
 }
--- a/src/routing/placementview.h
+++ b/src/routing/placementview.h
@@ -11,89 +11,96 @@
 namespace Egretpath
 {
 
-/// Constants of PlacementView.
+/// Tuning constants of PlacementView.
 struct PlacementViewSettings
 {
-    /// Age at which a report counts 1/e against what is typical: about the length of a slow spell.
+    /// Age at which the weight of a report against the typical load has fallen to 1/e; about the length of a slow
+    /// period.
     Duration reportMemory = Milliseconds{300};
-    /// Weight of the newest report in what is typical.
+    /// Weight of the newest report in the typical load.
     double typicalGain = 0.03;
-    /// What is assumed to be typical before any report: a quarter of the VMs four times slower.
+    /// Typical slowdown before any report: a quarter of the VMs is four times slower.
     double typicalSlowdown = 1.7;
-    /// Time in which evidence of failures falls to 1/e.
+    /// Time in which the weight of recent failures falls to 1/e.
     Duration failureMemory = std::chrono::seconds{3};
-    /// How many times longer a request is taken to need for each recent failure seen here, and for a share of one of
-    /// failures among the latest answers; it keeps quick errors from attracting requests.
+    /// A request's expected time is multiplied by 1 + failurePenalty * (recent failures seen here)
+    /// + failureShareFactor * (failure share of the upstream's latest answers). This keeps an upstream that fails
+    /// quickly from attracting requests.
     double failurePenalty = 2.0;
     double failureShareFactor = 4.0;
-    /// An upstream without a report is taken for a typical one; else for an idle one at the usual pace.
+    /// Whether an upstream without a report is assumed to have the typical load; else it is assumed idle and without
+    /// slowdown.
     bool assumesTypical = true;
-    /// Requests reach an upstream as late as its latest report said; else at once.
+    /// Whether the arrival delay of an upstream's latest report is added to its expected time.
     bool countsDelay = true;
-    /// Calls ahead for each own request that is under way and not yet in a report.
+    /// Weight of each of this node's running requests that no report includes yet, in calls ahead.
     double ownRequestWeight = 0.5;
-    /// No request goes to an upstream whose node can't be reached for so long; each further failure doubles it.
+    /// An upstream whose node can't be reached is ejected for this time. Each further failure doubles the time.
     Duration unreachableBase = Milliseconds{150};
-    Duration unreachableLimit = std::chrono::seconds{3};
+    Duration maxUnreachableHold = std::chrono::seconds{3};
 };
 
-/// A request whose time at an upstream is to be foretold.
+/// A request whose time at an upstream is to be estimated.
 struct PlacementDemand
 {
-    /// What it takes when nothing is in the way.
+    /// Duration of the request on an idle upstream whose VM is not slowed down.
     Duration baselineTime{0};
-    /// It goes before all that waits.
+    /// Whether the request goes before all queued calls.
     bool urgent = false;
 };
 
-/// What one ingress knows of the upstreams' load: their VMs' pace, and the calls that run and wait.
+/// Tracks what one ingress knows of the upstreams' load: the slowdown of their VMs, and the running and queued calls.
 ///
-/// Kept apart, so that a report that came with one request speaks for requests of all routes and ranks. Thread safety:
-/// none; one owner. Errors: none.
+/// Slowdown and calls are stored separately, so that a report that arrives with one request can be used for requests of
+/// all routes and priorities.
+///
+/// Thread safety: none; one owner.
 class PlacementView
 {
 public:
     explicit PlacementView(PlacementViewSettings settings = {});
 
-    /// A request left for @p upstream; exactly one onEnded() follows.
+    /// A request was sent to @p upstream. Exactly one onEnded() follows.
     void onSent(const UpstreamName &upstream);
     void onEnded(const UpstreamName &upstream);
-    /// The node beside @p upstream told of its load.
+    /// The node beside @p upstream reported its load.
     void onReport(const UpstreamName &upstream, const LoadReport &report, TimePoint now);
-    /// The upstream failed a request: an error answer, a broken one, or none.
+    /// The upstream failed a request: with an error answer, an incomplete answer, or none.
     void onFailed(const UpstreamName &upstream, TimePoint now);
     /// The node beside the upstream could not be reached.
     void onUnreachable(const UpstreamName &upstream, TimePoint now);
-    /// It was reached.
+    /// The node beside the upstream was reached.
     void onReached(const UpstreamName &upstream);
-    /// It takes no new work for @p hold.
+    /// The upstream accepts no new work for @p hold.
     void onDraining(const UpstreamName &upstream, Duration hold, TimePoint now);
     void forget(const UpstreamName &upstream) { records_.erase(upstream); }
 
-    /// From the arrival of a request there to its answer.
+    /// Expected time from the arrival of a request at the upstream's node to its answer.
     [[nodiscard]] Duration expected(const UpstreamName &upstream, const PlacementDemand &demand, TimePoint now) const;
-    /// Whether nothing should be sent there now.
+    /// Whether no request should be sent to the upstream now.
     [[nodiscard]] bool isEjected(const UpstreamName &upstream, TimePoint now) const;
-    /// How little is known of the present: 0 for a report of this moment, 1 without any.
+    /// How outdated the latest report is: 0 for a report of this moment, 1 without any.
     [[nodiscard]] double staleness(const UpstreamName &upstream, TimePoint now) const;
-    /// Whether no report ever came from there.
+    /// Whether no report ever came from the upstream's node.
     [[nodiscard]] bool isUnknown(const UpstreamName &upstream) const;
     [[nodiscard]] std::size_t size() const { return records_.size(); }
 
 private:
-    /// What decides how long a request takes.
+    /// The state of an upstream that determines how long a request takes.
     struct Load
     {
-        /// How many times longer than usual work takes.
+        /// How many times longer than the baseline work takes.
         double slowdown = 1.0;
-        /// Until the end of the VM's slow spell, for which requests wait if that is quicker, and the pace after it.
+        /// Time until the end of the VM's slow period, and the slowdown after it. Requests wait for the end if that is
+        /// quicker.
         double slowPeriodSeconds = 0.0;
         double recoveredSlowdown = 1.0;
-        /// Calls before a request that goes before all that waits, and before one that goes behind, for each slot.
-        double urgentWait = 0.0;
-        double wait = 0.0;
+        /// Calls ahead of a request for each slot: of one that goes before all queued calls, and of one that goes
+        /// behind them.
+        double urgentCallsAhead = 0.0;
+        double callsAhead = 0.0;
         double failureShare = 0.0;
-        /// By which requests reach its node late.
+        /// Delay with which requests reach the upstream's node.
         double delaySeconds = 0.0;
     };
 
@@ -107,20 +114,20 @@
         std::uint32_t inFlightAtReport = 0;
         double failures = 0.0;
         TimePoint failureTime;
-        std::uint32_t unreachable = 0;
+        std::uint32_t unreachableCount = 0;
         TimePoint ejectedUntil;
     };
 
-    [[nodiscard]] double failuresOf(const Record &record, TimePoint now) const;
-    [[nodiscard]] Load loadOf(const Record &record, TimePoint now) const;
-    [[nodiscard]] Load loadIn(const LoadReport &report) const;
-    [[nodiscard]] static Load mixed(double share, const Load &one, const Load &other);
-    /// What work takes that needs @p usualSeconds when nothing is in the way.
+    [[nodiscard]] double recentFailures(const Record &record, TimePoint now) const;
+    [[nodiscard]] Load estimatedLoad(const Record &record, TimePoint now) const;
+    [[nodiscard]] Load loadFrom(const LoadReport &report) const;
+    [[nodiscard]] static Load weightedLoad(double share, const Load &one, const Load &other);
+    /// How long work takes that needs @p baselineSeconds on an idle upstream whose VM is not slowed down.
     [[nodiscard]] static double workSeconds(const Load &load, double baselineSeconds);
 
     PlacementViewSettings settings_;
     std::unordered_map<UpstreamName, Record> records_;
-    Load typical_;
+    Load typicalLoad_;
     double meanServiceSeconds_ = 0.0;
 };
 
--- a/src/routing/retrybudget.cpp
+++ b/src/routing/retrybudget.cpp
@@ -20,8 +20,8 @@
 
 bool RetryBudget::canSpend(const ServiceName &service) const
 {
-    const auto place = services_.find(service);
-    return nodeTokens_ >= 1.0 && place != services_.end() && place->second >= 1.0;
+    const auto entry = services_.find(service);
+    return nodeTokens_ >= 1.0 && entry != services_.end() && entry->second >= 1.0;
 }
 
 bool RetryBudget::spend(const ServiceName &service)
--- a/src/routing/retrybudget.h
+++ b/src/routing/retrybudget.h
@@ -7,29 +7,31 @@
 namespace Egretpath
 {
 
-/// Constants of RetryBudget.
+/// Tuning constants of RetryBudget.
 struct RetryBudgetSettings
 {
-    /// Retries and hedges allowed for each first try.
+    /// Retries and hedges that each first try allows.
     double share = 0.1;
-    /// Retries that a service may save up for a burst.
+    /// Maximum number of retries that a service can save up for a burst.
     double serviceBurst = 10.0;
-    /// Retries that the whole node may save up.
+    /// Maximum number of retries that the whole node can save up.
     double nodeBurst = 20.0;
 };
 
 /// Limits retries and hedges to a share of first tries, for each service and for the whole node.
 ///
-/// Guards against the retry storm: when many upstreams fail at once, retries multiply the load just when there is
-/// least capacity. The load sent stays below (1 + share) times the first tries, however many fail.
+/// Load pattern: a retry storm. When many upstreams fail at once, retries multiply the load just when there is least
+/// capacity. With the budget, the load sent stays below (1 + share) times the first tries, however many fail.
 ///
-/// Thread safety: none. Errors: none. It needs no clock: tokens are earned by first tries.
+/// Tokens are earned by first tries, so no clock is needed.
+///
+/// Thread safety: none. Errors: none.
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetSettings settings = {});
 
-    /// Changes what is earned and saved from now on.
+    /// Changes the tokens earned and the limits from now on.
     void setSettings(const RetryBudgetSettings &settings) { settings_ = settings; }
 
     /// A first try of a call of @p service starts.
@@ -38,10 +40,11 @@
     /// Whether spend() would succeed.
     [[nodiscard]] bool canSpend(const ServiceName &service) const;
 
-    /// Takes one retry from the service's and the node's tokens; takes nothing and returns false if either lacks it.
+    /// Takes one token from the service and one from the node. If either has none left, takes nothing and returns
+    /// false.
     [[nodiscard]] bool spend(const ServiceName &service);
 
-    /// The service left the table.
+    /// Removes @p service, which is no longer in the route table.
     void forget(const ServiceName &service) { services_.erase(service); }
 
 private:
--- a/tests/routing/placementtest.cpp
+++ b/tests/routing/placementtest.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-const Location Here{RegionName("north"), ZoneName("north-a")};
-const Location NextZone{RegionName("north"), ZoneName("north-b")};
-const Location FarAway{RegionName("south"), ZoneName("south-a")};
+const Location OwnZone{RegionName("north"), ZoneName("north-a")};
+const Location OtherZone{RegionName("north"), ZoneName("north-b")};
+const Location OtherRegion{RegionName("south"), ZoneName("south-a")};
 
 TimePoint at(int milliseconds)
 {
@@ -30,24 +30,25 @@
     return report;
 }
 
-const PlacementDemand Usual{Milliseconds(100), false};
+const PlacementDemand TypicalDemand{Milliseconds(100), false};
 
-/// Three upstreams: beside the caller, in the next zone, in another region.
+/// Three upstreams: in the caller's zone, in another zone of its region, and in another region.
 struct Fixture
 {
     Fixture()
-        : candidates{{UpstreamName("near"), Here}, {UpstreamName("next"), NextZone}, {UpstreamName("far"), FarAway}}
+        : candidates{
+            {UpstreamName("near"), OwnZone}, {UpstreamName("next"), OtherZone}, {UpstreamName("far"), OtherRegion}}
     {
     }
 
     std::optional<PlacementChoice> choose(std::size_t bytes = 1000, std::vector<UpstreamName> excluded = {})
     {
-        Placement placement(Here, view, Random(5));
+        Placement placement(OwnZone, view, Random(5));
         placement.setPrices(prices);
         PlacementRequest request;
         request.candidates = candidates;
         request.excluded = excluded;
-        request.demand = Usual;
+        request.demand = TypicalDemand;
         request.targetLeft = Milliseconds(300);
         request.bodies = Bytes(bytes);
         request.now = at(10);
@@ -71,7 +72,7 @@
 
 }
 
-TEST_CASE("with equal news the nearest upstream is taken")
+TEST_CASE("the nearest upstream is chosen if all reports are equal")
 {
     Fixture fixture;
     for (const char *name : {"near", "next", "far"}) {
@@ -82,9 +83,10 @@
     CHECK(choice->declineThreshold > Milliseconds(100));
 }
 
-// Both upstreams of the region are in a slow spell. A read of 100 ms would take 400 of its 300; another region costs
-// 17 ms and two kilobytes on a paid link.
-TEST_CASE("another region is used when the target is at risk, not to save a few milliseconds")
+// Guards against a region that is never left, or left too easily. Both upstreams of the region are in a slow period, in
+// which a read of 100 ms takes 400 ms of its 300 ms target. Another region costs 17 ms and two kilobytes on a paid
+// link.
+TEST_CASE("another region is chosen if the target is at risk, not to save a few milliseconds")
 {
     Fixture fixture;
     fixture.report("near", 4.0);
@@ -95,9 +97,9 @@
     CHECK(fixture.nameOf(fixture.choose()) == "near");
 }
 
-// A scanned ledger of 60 KB went to another region to save some tens of milliseconds, and cost more on the paid link
-// than its answer in time was worth.
-TEST_CASE("a large body stays in its region unless nothing there can take it")
+// Guards against large bodies on paid links. A scanned ledger of 60 KB that is sent to another region to save some tens
+// of milliseconds costs more there than its answer in time is worth.
+TEST_CASE("a large body stays in its region unless no upstream there can be reached")
 {
     Fixture fixture;
     fixture.report("near", 4.0);
@@ -109,9 +111,10 @@
     CHECK(fixture.nameOf(fixture.choose(60'000)) == "far");
 }
 
-// Both upstreams of the region are in a slow spell. A report of 12 KB that would be late there costs more on the paid
-// link than it is worth; a lookup of some hundred bytes, on which another request waits, does not.
-TEST_CASE("what crosses regions depends on what operators say that a KiB costs there")
+// Guards against ignoring the prices of links. Both upstreams of the region are in a slow period. A report of 12 KB
+// that would be late there costs more on the paid link than it is worth. A lookup of some hundred bytes, on which
+// another request waits, does not.
+TEST_CASE("the configured price of a KiB decides which requests cross regions")
 {
     Fixture fixture;
     fixture.report("near", 4.0);
@@ -125,7 +128,7 @@
     CHECK(fixture.nameOf(fixture.choose(600)) != "far");
 }
 
-TEST_CASE("the usual size of an answer is that of its route")
+TEST_CASE("the typical answer size is the mean of the route")
 {
     ExchangeSizes sizes;
     CHECK(sizes.typicalAnswerSize(RouteName("lookup")) == Bytes(0));
@@ -140,7 +143,7 @@
     CHECK(sizes.typicalAnswerSize(RouteName("unknown")).value() > 200);
 }
 
-TEST_CASE("old reports count less than new ones")
+TEST_CASE("old reports have less weight than new ones")
 {
     Fixture fixture;
     fixture.report("near", 4.0, -3000);
@@ -148,21 +151,21 @@
     CHECK(fixture.nameOf(fixture.choose()) == "near");
 }
 
-TEST_CASE("failures keep requests away, and fade")
+TEST_CASE("failures keep requests away, and their weight decays")
 {
     Fixture fixture;
     fixture.report("near", 1.0);
     fixture.report("next", 1.3);
     fixture.view.onFailed(UpstreamName("near"), at(5));
     CHECK(fixture.nameOf(fixture.choose()) == "next");
-    const Duration now = fixture.view.expected(UpstreamName("near"), Usual, at(10));
-    const Duration later = fixture.view.expected(UpstreamName("near"), Usual, at(12'000));
+    const Duration now = fixture.view.expected(UpstreamName("near"), TypicalDemand, at(10));
+    const Duration later = fixture.view.expected(UpstreamName("near"), TypicalDemand, at(12'000));
     CHECK(now > later + Milliseconds(50));
 }
 
-// The only upstream could not be reached once. Left out altogether, its service was unreachable although it had come
-// back.
-TEST_CASE("a shut upstream is taken when no other is left")
+// Guards against a service that stays unreachable. The only upstream could not be reached once; if it were never chosen
+// while it is ejected, the service would fail although the upstream is back.
+TEST_CASE("an ejected upstream is chosen if no other is left")
 {
     Fixture fixture;
     for (const char *name : {"near", "next", "far"}) {
@@ -173,7 +176,7 @@
     CHECK(fixture.nameOf(fixture.choose(1000, all)) == "none");
 }
 
-TEST_CASE("an upstream that can't be reached is left alone for longer each time, up to a limit")
+TEST_CASE("an upstream that can't be reached is ejected for longer each time, up to a limit")
 {
     PlacementView view;
     const UpstreamName name("near");
@@ -192,25 +195,25 @@
     CHECK_FALSE(view.isEjected(name, at(9200)));
 }
 
-TEST_CASE("requests under way that no report counts yet make an upstream look busier")
+TEST_CASE("running requests that no report includes yet increase the expected time")
 {
     PlacementView view;
     const UpstreamName name("near");
     view.onReport(name, reportOf(1.0), at(0));
-    const Duration idle = view.expected(name, Usual, at(0));
+    const Duration idle = view.expected(name, TypicalDemand, at(0));
     view.onSent(name);
     view.onSent(name);
-    CHECK(view.expected(name, Usual, at(0)) > idle);
+    CHECK(view.expected(name, TypicalDemand, at(0)) > idle);
     view.onReport(name, reportOf(1.0), at(0));
-    CHECK(view.expected(name, Usual, at(0)) == idle);
+    CHECK(view.expected(name, TypicalDemand, at(0)) == idle);
     view.onEnded(name);
     view.onEnded(name);
     view.onEnded(name);
-    CHECK(view.expected(name, Usual, at(0)) == idle);
+    CHECK(view.expected(name, TypicalDemand, at(0)) == idle);
 }
 
-// Short checks went round the upstreams whose queues were long, although they go before all that waits there.
-TEST_CASE("the queue counts for a request that goes behind it, not for an urgent one")
+// Guards against urgent requests that avoid upstreams with long queues, although they go before all queued calls there.
+TEST_CASE("the expected time includes the queue for a normal request, not for an urgent one")
 {
     PlacementView view;
     const UpstreamName name("near");
@@ -218,13 +221,13 @@
     report.inFlight = 4;
     report.queued = 7;
     view.onReport(name, report, at(0));
-    CHECK(view.expected(name, Usual, at(0)) == Milliseconds(300));
+    CHECK(view.expected(name, TypicalDemand, at(0)) == Milliseconds(300));
     CHECK(view.expected(name, {Milliseconds(20), true}, at(0)) == Milliseconds(45));
 }
 
-// Two nodes share links of 12 Mbit/s with large uploads. Calls reached them a tenth of a second late, and were sent
-// there all the same.
-TEST_CASE("a delay on the way to a node counts, also when it was told some time ago")
+// Guards against ignoring slow links. Two nodes share links of 12 Mbit/s with large uploads, and calls reach them a
+// tenth of a second late. Without the reported delay, calls would still be sent there.
+TEST_CASE("the expected time includes the arrival delay, even if its report is old")
 {
     Fixture fixture;
     LoadReport late = reportOf(1.0);
@@ -233,13 +236,13 @@
     fixture.report("next", 1.0);
     fixture.report("far", 1.0);
     CHECK(fixture.nameOf(fixture.choose()) == "next");
-    const Duration soon = fixture.view.expected(UpstreamName("near"), Usual, at(0));
-    const Duration later = fixture.view.expected(UpstreamName("near"), Usual, at(3000));
+    const Duration soon = fixture.view.expected(UpstreamName("near"), TypicalDemand, at(0));
+    const Duration later = fixture.view.expected(UpstreamName("near"), TypicalDemand, at(3000));
     CHECK(soon == Milliseconds(220));
     CHECK(later >= Milliseconds(220));
 }
 
-TEST_CASE("the cost of waiting rises with the time, and can be read backwards")
+TEST_CASE("the cost of waiting rises with time and can be inverted")
 {
     double last = 0.0;
     for (double share = 0.05; share < 3.0; share += 0.05) {
--- a/tests/routing/retrybudgettest.cpp
+++ b/tests/routing/retrybudgettest.cpp
@@ -11,9 +11,9 @@
 
 }
 
-// An upstream's switch fails and every call is refused. Without a budget each call is tried three times, and the
-// upstreams that are left fall over as well.
-TEST_CASE("a storm of failures adds a tenth to the load at most")
+// Guards against a retry storm. A network switch fails and every call to its upstreams is refused. Without a budget,
+// each call is tried three times, and the remaining upstreams are overloaded too.
+TEST_CASE("retries add at most a tenth to the load when all calls fail")
 {
     RetryBudget budget;
     constexpr int Calls = 10000;
@@ -28,7 +28,7 @@
     CHECK_FALSE(budget.canSpend(Service));
 }
 
-TEST_CASE("one service's failures leave the others a part of the node's budget")
+TEST_CASE("the failures of one service leave a part of the node's budget to the others")
 {
     RetryBudget budget;
     const ServiceName other{"statements"};
