--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -63,7 +63,7 @@
     Mechanism{"gathering", "readers gather changes",
               [](DecisionSettings &decisions) { decisions.catalog.gatherTime = Milliseconds{0}; }},
     Mechanism{"patience-with-store", "peers are asked only when the store is away for a while",
-              [](DecisionSettings &decisions) { decisions.catalog.lossBeforeAsking = Milliseconds{0}; }},
+              [](DecisionSettings &decisions) { decisions.catalog.storeLossTolerance = Milliseconds{0}; }},
     Mechanism{"companions-apart", "requests that an upstream broke off with are not tried together again",
               [](DecisionSettings &decisions) { decisions.queue.separatesCoSuspects = false; }},
     Mechanism{"upstream-account", "requests that an upstream has lost end, its other work takes slots",
--- a/src/instances/catalogplan.cpp
+++ b/src/instances/catalogplan.cpp
@@ -47,21 +47,21 @@
 void CatalogPlan::beginReading(TimePoint now)
 {
     ownStoreAvailableSince_.reset();
-    ownLostSince_ = now;
+    ownReadsFailingSince_ = now;
     hasRead_ = false;
 }
 
-void CatalogPlan::ownReadingLost(TimePoint now)
+void CatalogPlan::onOwnReadsFailed(TimePoint now)
 {
     if (std::exchange(ownStoreAvailableSince_, std::nullopt)) {
         lastStoreAvailable_ = std::max<TimePoint>(lastStoreAvailable_, now - SilenceDetectionTime);
     }
-    ownLostSince_ = now;
+    ownReadsFailingSince_ = now;
 }
 
-void CatalogPlan::ownReadingBack(TimePoint now)
+void CatalogPlan::onOwnReadsRecovered(TimePoint now)
 {
-    ownLostSince_.reset();
+    ownReadsFailingSince_.reset();
     recordStoreRead(now);
     isSearchExhausted_ = false;
     election_.clearFailures();
@@ -74,11 +74,11 @@
 bool CatalogPlan::isUsable(const SourceReport &report) const
 {
     // A node whose reader is this node can't report anything new.
-    const bool isValid = report.age < times_.provenFor && report.hops < MaxHops && report.reader != own_;
+    const bool isValid = report.age < times_.maxReportAge && report.hops < MaxHops && report.reader != own_;
     return report.store != StoreState::Unavailable && isValid;
 }
 
-void CatalogPlan::answered(const Endpoint &node, const SourceReport &report, TimePoint now)
+void CatalogPlan::onAnswer(const Endpoint &node, const SourceReport &report, TimePoint now)
 {
     if (isUsable(report)) {
         follow(node, report, now);
@@ -122,7 +122,7 @@
     }
 }
 
-void CatalogPlan::silent(const Endpoint &node, TimePoint now)
+void CatalogPlan::onNoAnswer(const Endpoint &node, TimePoint now)
 {
     election_.recordFailure(node, now);
     if (following_ == node) {
@@ -134,7 +134,7 @@
 void CatalogPlan::storeProbeSucceeded(TimePoint now)
 {
     hasStoreProbeSucceeded_ = true;
-    ownLostSince_ = now;
+    ownReadsFailingSince_ = now;
 }
 
 std::optional<SourceQuery> CatalogPlan::query(const Endpoint &node) const
@@ -143,7 +143,7 @@
     // A node that is not followed yet is asked to answer at once.
     if (following_ == node) {
         query.wait = times_.followWait;
-        query.known = report_.store;
+        query.knownState = report_.store;
     }
     return query;
 }
@@ -151,8 +151,8 @@
 std::optional<SourceQuery> CatalogPlan::nextQuery(TimePoint now)
 {
     if (isActiveReader()) {
-        const bool isLostForLong = ownLostSince_ && now - *ownLostSince_ >= times_.lossBeforeAsking;
-        return isLostForLong || (ownLostSince_ && hasAvailableSource()) ? search(now) : std::nullopt;
+        const bool isLostForLong = ownReadsFailingSince_ && now - *ownReadsFailingSince_ >= times_.storeLossTolerance;
+        return isLostForLong || (ownReadsFailingSince_ && hasAvailableSource()) ? search(now) : std::nullopt;
     }
     if (const auto source = election_.source(now)) {
         return query(*source);
@@ -192,7 +192,7 @@
 StoreReading CatalogPlan::reading() const
 {
     if (isActiveReader()) {
-        return StoreReading::Usual;
+        return StoreReading::Reader;
     }
     const bool isActiveStandby = hasUnavailableReport_ && election_.isStandby();
     return isActiveStandby || hasStoreProbeSucceeded_ || hasNoSource_ ? StoreReading::Standby : StoreReading::None;
@@ -218,12 +218,12 @@
 
 StoreState CatalogPlan::store(TimePoint now, bool isRecovering) const
 {
-    const bool isLostForLong = ownLostSince_ && now - *ownLostSince_ >= times_.lossBeforeAsking;
-    const bool areOwnReadsFailing = isActiveReader() ? isLostForLong : ownLostSince_.has_value();
+    const bool isLostForLong = ownReadsFailingSince_ && now - *ownReadsFailingSince_ >= times_.storeLossTolerance;
+    const bool areOwnReadsFailing = isActiveReader() ? isLostForLong : ownReadsFailingSince_.has_value();
     if (reading() != StoreReading::None && hasRead_ && !areOwnReadsFailing) {
         return isRecovering ? StoreState::Recovering : StoreState::Available;
     }
-    const bool isReportCurrent = following_ && !isSearchExhausted_ && now - lastStoreReadAt_ < times_.provenFor;
+    const bool isReportCurrent = following_ && !isSearchExhausted_ && now - lastStoreReadAt_ < times_.maxReportAge;
     if (!isReportCurrent) {
         return StoreState::Unavailable;
     }
--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -17,7 +17,7 @@
     /// It does not read the store. It gets its updates from another node.
     None,
     /// It reads for itself and for the nodes that follow it.
-    Usual,
+    Reader,
     /// It reads in place of other nodes, with long pauses between calls while the store is unavailable.
     Standby,
 };
@@ -44,7 +44,7 @@
     Milliseconds wait{0};
     /// The store state that the other node last reported to this one. The other node answers at once when its state
     /// differs.
-    StoreState known = StoreState::Available;
+    StoreState knownState = StoreState::Available;
 };
 
 /// Decides which node this node follows, when it queries which node, and whether it reads the platform's store itself.
@@ -71,11 +71,11 @@
     /// This node has read something from the store.
     void recordStoreRead(TimePoint now);
     /// This node's own calls to the store fail from @p now on, or succeed again.
-    void ownReadingLost(TimePoint now);
-    void ownReadingBack(TimePoint now);
+    void onOwnReadsFailed(TimePoint now);
+    void onOwnReadsRecovered(TimePoint now);
     /// @p node answered a query, or failed to answer it.
-    void answered(const Endpoint &node, const SourceReport &report, TimePoint now);
-    void silent(const Endpoint &node, TimePoint now);
+    void onAnswer(const Endpoint &node, const SourceReport &report, TimePoint now);
+    void onNoAnswer(const Endpoint &node, TimePoint now);
     /// A probe of the store succeeded although other nodes report the store as unavailable.
     void storeProbeSucceeded(TimePoint now);
 
@@ -104,17 +104,20 @@
         return !hasAvailableSource() && following_ && isSearchExhausted_;
     }
     /// When the reader that this node gets its updates from last read the store.
-    [[nodiscard]] TimePoint provenAt() const { return lastStoreReadAt_; }
+    [[nodiscard]] TimePoint lastStoreReadAt() const { return lastStoreReadAt_; }
     /// The last time at which a node is known to have read the store. Records that expired unseen expired after it.
     [[nodiscard]] TimePoint lastStoreAvailable() const { return lastStoreAvailable_; }
     /// When this node's own calls to the store began to fail; nothing while they succeed.
-    [[nodiscard]] const std::optional<TimePoint> &ownLostSince() const { return ownLostSince_; }
+    [[nodiscard]] const std::optional<TimePoint> &ownReadsFailingSince() const { return ownReadsFailingSince_; }
 
 private:
     [[nodiscard]] bool isUsable(const SourceReport &report) const;
     [[nodiscard]] bool hasAvailableSource() const { return following_ && report_.store != StoreState::Unavailable; }
     [[nodiscard]] bool isActiveReader() const { return hasList_ && election_.isReader() && (isListed_ || !following_); }
-    [[nodiscard]] bool isReadingStore() const { return reading() != StoreReading::None && hasRead_ && !ownLostSince_; }
+    [[nodiscard]] bool isReadingStore() const
+    {
+        return reading() != StoreReading::None && hasRead_ && !ownReadsFailingSince_;
+    }
     [[nodiscard]] std::optional<SourceQuery> query(const Endpoint &node) const;
     [[nodiscard]] std::optional<SourceQuery> search(TimePoint now);
     void follow(const Endpoint &node, const SourceReport &report, TimePoint now);
@@ -137,7 +140,7 @@
     TimePoint lastStoreAvailable_;
     /// Since when this node has read the store without a failure; nothing while it does not read or its calls fail.
     std::optional<TimePoint> ownStoreAvailableSince_;
-    std::optional<TimePoint> ownLostSince_;
+    std::optional<TimePoint> ownReadsFailingSince_;
     /// The store has answered this node since it began to read.
     bool hasRead_ = false;
     /// A source has reported the store as unavailable, and none has reported otherwise since.
--- a/src/instances/catalogtimes.h
+++ b/src/instances/catalogtimes.h
@@ -12,11 +12,11 @@
 struct CatalogTimes
 {
     /// Interval at which held records are checked and at which a node without another source queries peers.
-    Milliseconds round{300};
+    Milliseconds checkInterval{300};
     /// The store must be unreachable for this long before it counts as lost. Most losses are one refused call.
-    Milliseconds lossBeforeAsking{250};
+    Milliseconds storeLossTolerance{250};
     /// Timeout of a query that is answered at once.
-    Milliseconds peerLimit{600};
+    Milliseconds peerTimeout{600};
     /// A source without updates answers after this time at the latest, so that a frozen source is noticed.
     Milliseconds followWait{700};
     /// Added to followWait for the round trip with one lost packet.
@@ -24,7 +24,7 @@
     /// The store counts as available for this long after its reader last read it. Each step from the reader to a node
     /// may add one followWait. Without this limit, nodes that follow each other in a cycle would report the store as
     /// available for ever.
-    Milliseconds provenFor{3000};
+    Milliseconds maxReportAge{3000};
     /// Pause between attempts to find a node to follow.
     Milliseconds followPause{100};
     /// A seed node, named in the settings, answers a starting node after this time at the latest. The seed may be
@@ -35,13 +35,13 @@
     Milliseconds seedStagger{60};
     /// A peer may be ahead of this node for this long before this node queries it. Readers gather changes at different
     /// times.
-    Milliseconds aheadBeforeAsking{1200};
+    Milliseconds peerLeadTolerance{1200};
     /// Pause between a change at the store and the next read of the store, longer with each further change in a row. A
     /// change seldom comes alone, and each change that is read separately costs a call.
     Milliseconds gatherTime{300};
-    Milliseconds longestGatherTime{900};
+    Milliseconds maxGatherTime{900};
     /// Interval between calls to an unavailable store: of a reader and of a standby.
-    Milliseconds readerPause{700};
+    Milliseconds readerInterval{700};
     Milliseconds standbyInterval{1400};
     /// Mean interval between one node's probes of a store that is reported as unavailable, for each node of the fleet.
     /// The whole fleet probes about once in this time.
--- a/src/instances/instancedirectory.cpp
+++ b/src/instances/instancedirectory.cpp
@@ -43,7 +43,7 @@
     if (!std::exchange(hasList_, true)) {
         removalsSince_ = snapshot.revision;
     }
-    reached(snapshot.revision);
+    advanceTo(snapshot.revision);
     return true;
 }
 
@@ -79,12 +79,12 @@
     removed_[id] = revision;
 }
 
-void InstanceDirectory::reached(StoreRevision revision)
+void InstanceDirectory::advanceTo(StoreRevision revision)
 {
     revision_ = std::max(revision_, revision);
 }
 
-void InstanceDirectory::storeLost(TimePoint lastStoreAvailable)
+void InstanceDirectory::onStoreLost(TimePoint lastStoreAvailable)
 {
     if (!std::exchange(isStoreLost_, true)) {
         lastStoreAvailable_ = lastStoreAvailable;
@@ -92,7 +92,7 @@
     }
 }
 
-void InstanceDirectory::storeBack(TimePoint now)
+void InstanceDirectory::onStoreRecovered(TimePoint now)
 {
     if (!std::exchange(isStoreLost_, false)) {
         return;
--- a/src/instances/instancedirectory.h
+++ b/src/instances/instancedirectory.h
@@ -59,15 +59,15 @@
     /// Takes one change. Returns false if the change is older than the current state of its upstream.
     bool applyChange(const InstanceChange &change, TimePoint now);
     /// All changes up to @p revision have been applied.
-    void reached(StoreRevision revision);
+    void advanceTo(StoreRevision revision);
 
     /// This node can't read the store any more. @p lastStoreAvailable: when the store was last known to be available.
-    void storeLost(TimePoint lastStoreAvailable);
+    void onStoreLost(TimePoint lastStoreAvailable);
     /// Tells whether another node could read the store during the loss, so that only this node's link to it was cut.
     /// If so, leases were renewed meanwhile, and a record that the store no longer lists after the loss is dropped.
-    void storeSeenInOrder(bool storeAvailable) { isStoreAvailableElsewhere_ = storeAvailable; }
+    void setStoreAvailableElsewhere(bool storeAvailable) { isStoreAvailableElsewhere_ = storeAvailable; }
     /// The store answers this node again.
-    void storeBack(TimePoint now);
+    void onStoreRecovered(TimePoint now);
     /// Another node has read the store without a failure from @p from to @p to. If this covers the time in which this
     /// node could not read it, only the records of upstreams that are gone were removed. Held records are then
     /// dropped.
--- a/src/instances/peerchoice.cpp
+++ b/src/instances/peerchoice.cpp
@@ -7,15 +7,15 @@
 namespace Egretpath
 {
 
-std::vector<Endpoint> drawSome(std::vector<Endpoint> nodes, std::size_t count, Random &random)
+std::vector<Endpoint> sampleNodes(std::vector<Endpoint> nodes, std::size_t count, Random &random)
 {
     std::shuffle(nodes.begin(), nodes.end(), random);
     nodes.resize(std::min(nodes.size(), count));
     return nodes;
 }
 
-std::vector<Endpoint> anyPeers(const InstanceDirectory &directory, const Endpoint &own, std::size_t count,
-                               Random &random)
+std::vector<Endpoint> samplePeers(const InstanceDirectory &directory, const Endpoint &own, std::size_t count,
+                                  Random &random)
 {
     std::vector<Endpoint> all;
     directory.forEachReady([&](const InstanceRecord &record) {
@@ -23,7 +23,7 @@
             all.push_back(record.node);
         }
     });
-    return drawSome(std::move(all), count, random);
+    return sampleNodes(std::move(all), count, random);
 }
 
 std::vector<Endpoint> onePeerOfEachOtherRegion(const InstanceDirectory &directory, const RegionName &region,
--- a/src/quarantine/quarantinegossip.cpp
+++ b/src/quarantine/quarantinegossip.cpp
@@ -50,7 +50,7 @@
 
 std::vector<Endpoint> QuarantineGossip::gossipTargets(const InstanceDirectory &directory, const Endpoint &own)
 {
-    return anyPeers(directory, own, settings_.fanout, random_);
+    return samplePeers(directory, own, settings_.fanout, random_);
 }
 
 std::optional<TimePoint> QuarantineGossip::enqueue(const std::vector<SuspectedRequest> &refused, TimePoint now)
--- a/src/sidecar/catalogbootstrap.cpp
+++ b/src/sidecar/catalogbootstrap.cpp
@@ -65,7 +65,7 @@
         std::chrono::duration_cast<Duration>(times_.minProbeInterval * waitDistribution(state_.random));
     const TimePoint deadline = currentTime() + maxWait;
     while (!callbacks_.isFollowing() && isStoreReportedUnavailable_ && currentTime() < deadline) {
-        timer.expires_after(times_.round);
+        timer.expires_after(times_.checkInterval);
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
--- a/src/sidecar/catalogcontents.cpp
+++ b/src/sidecar/catalogcontents.cpp
@@ -160,7 +160,7 @@
         anyApplied = true;
         log_.logUpstreamChange(change, origin);
     }
-    state_.directory.reached(reached);
+    state_.directory.advanceTo(reached);
     if (anyApplied) {
         listReadAt_ = currentTime() - origin.age;
         log_.recordListAge(origin);
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -74,7 +74,7 @@
     if (plan_.following()) {
         return plan_.following()->value();
     }
-    return plan_.ownLostSince() ? "lost" : std::string(UpdateOrigin::Platform);
+    return plan_.ownReadsFailingSince() ? "lost" : std::string(UpdateOrigin::Platform);
 }
 
 StoreState CatalogController::storeState() const
@@ -95,7 +95,7 @@
     });
     // A node that has just started makes the request wait as well: it may soon have read everything.
     const auto hasNewStoreState = [this, &request] {
-        return storeState() != request.known && (state_.directory.hasList() || plan_.ownLostSince());
+        return storeState() != request.known && (state_.directory.hasList() || plan_.ownReadsFailingSince());
     };
     while (!contents_.hasUpdatesFor(request.have) && !hasNewStoreState() && currentTime() < deadline) {
         boost::system::error_code ignored;
@@ -157,7 +157,7 @@
 
 void CatalogController::onSourceLost(std::string_view reason)
 {
-    plan_.ownReadingLost(currentTime());
+    plan_.onOwnReadsFailed(currentTime());
     log_.logSourceLost(reason);
     applyStoreState();
     wakeWaitingRequests();
@@ -166,8 +166,8 @@
 void CatalogController::onSourceRestored()
 {
     const std::optional<Endpoint> before = plan_.following();
-    const auto since = plan_.ownLostSince();
-    plan_.ownReadingBack(currentTime());
+    const auto since = plan_.ownReadsFailingSince();
+    plan_.onOwnReadsRecovered(currentTime());
     log_.logSourceRestored(since ? currentTime() - *since : Duration{0});
     logFollowingChange(before, "this node reads for others");
     applyStoreState();
@@ -178,15 +178,15 @@
 /// are alive expire.
 void CatalogController::applyStoreState()
 {
-    const bool ownReadingFails = reading_ != StoreReading::None && plan_.ownLostSince();
+    const bool ownReadingFails = reading_ != StoreReading::None && plan_.ownReadsFailingSince();
     const bool lost = ownReadingFails || isCutOff_ || plan_.isStoreReportedUnavailable();
     if (std::exchange(isStoreLost_, lost) == lost) {
         return;
     }
     if (lost) {
-        state_.directory.storeLost(plan_.lastStoreAvailable());
+        state_.directory.onStoreLost(plan_.lastStoreAvailable());
     } else {
-        state_.directory.storeBack(currentTime());
+        state_.directory.onStoreRecovered(currentTime());
     }
     log_.logStoreState(storeState());
     wakeWaitingRequests();
@@ -205,7 +205,7 @@
     if (shouldRead && !reads) {
         plan_.beginReading(currentTime());
         const bool standby = wanted == StoreReading::Standby;
-        source_.resume(state_.directory.revision(), true, standby ? times_.standbyInterval : times_.readerPause);
+        source_.resume(state_.directory.revision(), true, standby ? times_.standbyInterval : times_.readerInterval);
     } else if (reads && !shouldRead) {
         source_.suspend();
     }
@@ -216,7 +216,7 @@
 {
     asio::steady_timer timer(executor_);
     while (true) {
-        timer.expires_after(times_.round);
+        timer.expires_after(times_.checkInterval);
         co_await timer.async_wait(asio::use_awaitable);
         contents_.expire();
         if (needsPeers()) {
@@ -228,7 +228,7 @@
         if (newerPeer_ && !contents_.isBehind(newerPeer_->versions)) {
             newerPeer_.reset();
         }
-        if (newerPeer_ && currentTime() - newerPeer_->since >= times_.aheadBeforeAsking) {
+        if (newerPeer_ && currentTime() - newerPeer_->since >= times_.peerLeadTolerance) {
             co_await catchUp();
         }
     }
@@ -244,11 +244,11 @@
     if (plan_.following()) {
         return false;
     }
-    if (plan_.ownLostSince()) {
-        return now - *plan_.ownLostSince() >= times_.lossBeforeAsking;
+    if (plan_.ownReadsFailingSince()) {
+        return now - *plan_.ownReadsFailingSince() >= times_.storeLossTolerance;
     }
     // A store that does not answer at all has not reported an error yet, so the time since the start counts.
-    return !state_.isReady() && !state_.isStopping && now - startedAt_ >= times_.lossBeforeAsking;
+    return !state_.isReady() && !state_.isStopping && now - startedAt_ >= times_.storeLossTolerance;
 }
 
 asio::awaitable<void> CatalogController::bootstrapAndFollow()
@@ -256,9 +256,9 @@
     co_await bootstrap_.run();
     hasBootstrapped_ = true;
     if (!plan_.following()) {
-        reading_ = StoreReading::Usual;
+        reading_ = StoreReading::Reader;
         source_.resume(StoreRevision(), false,
-                       bootstrap_.isStoreReportedUnavailable() ? times_.standbyInterval : times_.readerPause);
+                       bootstrap_.isStoreReportedUnavailable() ? times_.standbyInterval : times_.readerInterval);
     }
     applyReading();
     co_await followOthers();
@@ -300,9 +300,9 @@
     const std::optional<Endpoint> before = plan_.following();
     const TimePoint askedAt = currentTime();
     const Result<Catalog> catalog =
-        co_await ask(query.node, makeRequest(query.wait, query.known), query.wait + times_.followMargin);
+        co_await ask(query.node, makeRequest(query.wait, query.knownState), query.wait + times_.followMargin);
     if (!catalog) {
-        plan_.silent(query.node, currentTime());
+        plan_.onNoAnswer(query.node, currentTime());
         logFollowingChange(before, catalog.error().detail);
         applyReading();
         // The next source is asked without a pause, unless this one failed at once.
@@ -325,13 +325,13 @@
     const std::optional<Endpoint> before = plan_.following();
     const StoreState stateBefore = storeState();
     const TimePoint lastStoreAvailable = plan_.lastStoreAvailable();
-    plan_.answered(peer, reportOf(catalog), now);
+    plan_.onAnswer(peer, reportOf(catalog), now);
     logFollowingChange(before, "another node can read the platform");
     const bool isSourceRecovering = catalog.store == StoreState::Recovering && plan_.following() == peer;
     if (isSourceRecovering && !isStoreLost_ && !state_.directory.holdsRemovals(now)) {
         // This answer may remove upstreams that are alive, whose leases expired while the store was unavailable.
-        state_.directory.storeLost(lastStoreAvailable);
-        state_.directory.storeBack(now);
+        state_.directory.onStoreLost(lastStoreAvailable);
+        state_.directory.onStoreRecovered(now);
     }
     if (catalog.store == StoreState::Available && plan_.following() == peer) {
         recordStoreAvailability(catalog);
@@ -358,7 +358,7 @@
     if (plan_.following()) {
         log_.logFollowStarted(*plan_.following(), plan_.hops());
     } else {
-        log_.logFollowEnded(*before, reason, currentTime() - plan_.provenAt());
+        log_.logFollowEnded(*before, reason, currentTime() - plan_.lastStoreReadAt());
     }
 }
 
@@ -380,7 +380,7 @@
     isCutOff_ = !isReachable;
     if (isReachable) {
         // The node that is followed could read the store all the time, so the upstreams that it removed are gone.
-        state_.directory.storeSeenInOrder(true);
+        state_.directory.setStoreAvailableElsewhere(true);
     }
     log_.logCutOff(isCutOff_);
     applyStoreState();
@@ -422,13 +422,13 @@
 {
     for (const Endpoint &peer : peersToAsk()) {
         const Result<Catalog> catalog =
-            co_await ask(peer, makeRequest(Milliseconds{0}, StoreState::Available), times_.peerLimit);
+            co_await ask(peer, makeRequest(Milliseconds{0}, StoreState::Available), times_.peerTimeout);
         if (!catalog) {
             continue;
         }
         const bool storeAvailable = catalog.value().store == StoreState::Available;
-        if (plan_.ownLostSince() || !state_.isReady()) {
-            state_.directory.storeSeenInOrder(storeAvailable);
+        if (plan_.ownReadsFailingSince() || !state_.isReady()) {
+            state_.directory.setStoreAvailableElsewhere(storeAvailable);
         }
         if (storeAvailable) {
             recordStoreAvailability(catalog.value());
@@ -447,14 +447,14 @@
 {
     const Endpoint peer = std::exchange(newerPeer_, std::nullopt)->peer;
     const Result<Catalog> catalog =
-        co_await ask(peer, makeRequest(Milliseconds{0}, StoreState::Available), times_.peerLimit);
+        co_await ask(peer, makeRequest(Milliseconds{0}, StoreState::Available), times_.peerTimeout);
     if (!catalog || !applyCatalog(peer, catalog.value())) {
         co_return;
     }
     log_.logCatchUp(peer);
     // A follower needs nothing more: its source learns of the change in the same way.
-    if (!plan_.following() && !plan_.ownLostSince()) {
-        source_.resume(state_.directory.revision(), false, times_.readerPause);
+    if (!plan_.following() && !plan_.ownReadsFailingSince()) {
+        source_.resume(state_.directory.revision(), false, times_.readerInterval);
     }
 }
 
@@ -468,8 +468,8 @@
             return others;
         }
     }
-    std::vector<Endpoint> peers = anyPeers(state_.directory, state_.ownAddress(), PeersPerRound, state_.random);
-    return peers.empty() ? drawSome(state_.settings.seeds, PeersPerRound, state_.random) : peers;
+    std::vector<Endpoint> peers = samplePeers(state_.directory, state_.ownAddress(), PeersPerRound, state_.random);
+    return peers.empty() ? sampleNodes(state_.settings.seeds, PeersPerRound, state_.random) : peers;
 }
 
 bool CatalogController::applyCatalog(const Endpoint &peer, const Catalog &catalog)
--- a/tests/instances/catalogfleet.cpp
+++ b/tests/instances/catalogfleet.cpp
@@ -66,7 +66,7 @@
     const int source = numbers_.at(query.node);
     if (dead_.contains(source)) {
         time_.at(now() + query.wait + times_.followMargin, [this, asker, query] {
-            nodes_[asker]->plan.silent(query.node, now());
+            nodes_[asker]->plan.onNoAnswer(query.node, now());
             time_.at(now(), [this, asker] { step(asker); });
         });
         return;
@@ -83,7 +83,7 @@
 {
     constexpr Milliseconds CheckInterval{5};
     const Node &node = *nodes_[source];
-    const bool hasUpdate = node.revision > askerRevision || node.plan.store(now(), false) != query.known;
+    const bool hasUpdate = node.revision > askerRevision || node.plan.store(now(), false) != query.knownState;
     if (!hasUpdate && now() < end) {
         time_.at(std::min<TimePoint>(now() + CheckInterval, end), [this, asker, source, query, askerRevision, end] {
             answerWhenUpdated(asker, source, query, askerRevision, end);
@@ -94,7 +94,7 @@
     const std::uint64_t revision = node.revision;
     time_.at(now() + oneWayDelay(source, asker), [this, asker, query, report, revision] {
         Node &node = *nodes_[asker];
-        node.plan.answered(query.node, report, now());
+        node.plan.onAnswer(query.node, report, now());
         node.revision = std::max(node.revision, revision);
         applyReading(asker);
         // The controller pauses in the same way after an answer without changes.
@@ -127,8 +127,8 @@
     }
     if (isStoreAvailableTo_(number)) {
         node.failures = 0;
-        if (node.plan.ownLostSince()) {
-            node.plan.ownReadingBack(now());
+        if (node.plan.ownReadsFailingSince()) {
+            node.plan.onOwnReadsRecovered(now());
             // Reads of the routes and of the list, and the start of a watch for each.
             storeCalls_ += 4;
         }
@@ -138,8 +138,8 @@
         return;
     }
     ++storeCalls_;
-    if (!node.plan.ownLostSince()) {
-        node.plan.ownReadingLost(now());
+    if (!node.plan.ownReadsFailingSince()) {
+        node.plan.onOwnReadsFailed(now());
     }
     time_.at(now() + retryDelayOf(node), [this, number, round] { readStore(number, round); });
     ++node.failures;
@@ -148,7 +148,8 @@
 Milliseconds CatalogFleet::retryDelayOf(const Node &node)
 {
     constexpr unsigned MaxDoublings = 8;
-    const Milliseconds maxDelay = node.reading == StoreReading::Standby ? times_.standbyInterval : times_.readerPause;
+    const Milliseconds maxDelay =
+        node.reading == StoreReading::Standby ? times_.standbyInterval : times_.readerInterval;
     const Milliseconds delay = std::min(maxDelay, FirstRetryDelay * (1U << std::min(node.failures, MaxDoublings)));
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
     return std::chrono::duration_cast<Milliseconds>(delay * jitter(random_));
@@ -208,7 +209,7 @@
 {
     std::set<int> readers;
     for (int number = 0; number < static_cast<int>(nodes_.size()); ++number) {
-        if (nodes_[number]->plan.reading() == StoreReading::Usual) {
+        if (nodes_[number]->plan.reading() == StoreReading::Reader) {
             readers.insert(number);
         }
     }
--- a/tests/instances/catalogplantest.cpp
+++ b/tests/instances/catalogplantest.cpp
@@ -84,7 +84,7 @@
     CatalogFleet fleet(295, Regions, Seed);
     fleet.runUntil(fleet.now() + SettleTime);
     fleet.setStoreAvailability(answersNoNode);
-    fleet.runUntil(fleet.now() + CatalogTimes().provenFor + Milliseconds(1000));
+    fleet.runUntil(fleet.now() + CatalogTimes().maxReportAge + Milliseconds(1000));
     CHECK(fleet.nodeCountReporting(StoreState::Unavailable) == 295);
     fleet.publish();
     fleet.setStoreAvailability(answersEveryNode);
@@ -153,13 +153,13 @@
 {
     CatalogPlan plan = planOfOnlyNode();
     const TimePoint now = TimePoint() + std::chrono::seconds(10);
-    CHECK(plan.reading() == StoreReading::Usual);
+    CHECK(plan.reading() == StoreReading::Reader);
     CHECK(plan.store(now, false) == StoreState::Unavailable);
     plan.recordStoreRead(now);
     CHECK(plan.store(now, false) == StoreState::Available);
     plan.beginReading(now);
     CHECK(plan.store(now, false) == StoreState::Unavailable);
-    plan.ownReadingBack(now);
+    plan.onOwnReadsRecovered(now);
     CHECK(plan.store(now, false) == StoreState::Available);
 }
 
--- a/tests/instances/catalogtimestest.cpp
+++ b/tests/instances/catalogtimestest.cpp
@@ -21,5 +21,5 @@
 {
     constexpr int MaxTreeDepth = 4;
     const CatalogTimes times;
-    CHECK(times.followWait * MaxTreeDepth < times.provenFor);
+    CHECK(times.followWait * MaxTreeDepth < times.maxReportAge);
 }
--- a/tests/instances/instancedirectorytest.cpp
+++ b/tests/instances/instancedirectorytest.cpp
@@ -75,7 +75,7 @@
     REQUIRE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1), recordOf("2", 2)}), at(0)));
     REQUIRE(directory.applyChange(changeTo(recordOf("1", 6, InstanceState::Draining)), at(1)));
     REQUIRE(directory.applyChange(removalOf("2", 7), at(2)));
-    directory.reached(StoreRevision(7));
+    directory.advanceTo(StoreRevision(7));
     CHECK_FALSE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1), recordOf("2", 2)}), at(3)));
     CHECK_FALSE(directory.applyChange(changeTo(recordOf("1", 1)), at(4)));
     CHECK_FALSE(directory.applyChange(changeTo(recordOf("2", 2)), at(5)));
@@ -91,8 +91,8 @@
     InstanceDirectory directory;
     REQUIRE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1), recordOf("2", 2), recordOf("3", 3)}), at(0)));
     REQUIRE(directory.applyChange(changeTo(recordOf("3", 6, InstanceState::Draining)), at(1)));
-    directory.storeLost(at(10));
-    directory.storeBack(at(9000));
+    directory.onStoreLost(at(10));
+    directory.onStoreRecovered(at(9000));
     REQUIRE(directory.applySnapshot(snapshotOf(9, {}), at(9010)));
     CHECK(readyIn(directory) == "1 2 ");
     CHECK(directory.find(UpstreamName("3")) == nullptr);
@@ -120,11 +120,11 @@
 {
     InstanceDirectory directory;
     REQUIRE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1), recordOf("2", 2)}), at(0)));
-    directory.storeLost(at(10));
-    directory.storeSeenInOrder(true);
+    directory.onStoreLost(at(10));
+    directory.setStoreAvailableElsewhere(true);
     REQUIRE(directory.applySnapshot(snapshotOf(7, {recordOf("2", 2)}), at(5000)));
     CHECK(readyIn(directory) == "1 2 ");
-    directory.storeBack(at(9000));
+    directory.onStoreRecovered(at(9000));
     directory.expire(at(9000));
     CHECK(readyIn(directory) == "2 ");
     REQUIRE(directory.applySnapshot(snapshotOf(9, {}), at(9001)));
@@ -166,14 +166,14 @@
     reader.applyChange(changeTo(recordOf("3", 11)), at(1));
     reader.applyChange(removalOf("1", 12), at(1));
     reader.applyChange(changeTo(recordOf("2", 13, InstanceState::Draining)), at(1));
-    reader.reached(StoreRevision(13));
+    reader.advanceTo(StoreRevision(13));
     const auto changes = reader.changesSince(StoreRevision(10));
     REQUIRE(changes.has_value());
     CHECK(changes->size() == 3);
     for (const InstanceChange &change : *changes) {
         follower.applyChange(change, at(2));
     }
-    follower.reached(StoreRevision(13));
+    follower.advanceTo(StoreRevision(13));
     CHECK(readyIn(follower) == "3 ");
     CHECK(follower.changesSince(StoreRevision(13))->empty());
 }
@@ -209,8 +209,8 @@
 {
     InstanceDirectory directory;
     REQUIRE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1), recordOf("2", 2)}), at(0)));
-    directory.storeLost(at(4000));
-    directory.storeBack(at(7000));
+    directory.onStoreLost(at(4000));
+    directory.onStoreRecovered(at(7000));
     REQUIRE(directory.applySnapshot(snapshotOf(9, {recordOf("2", 2)}), at(7010)));
     CHECK(readyIn(directory) == "1 2 ");
     CHECK(directory.holdsRecords(at(7020)));
@@ -238,9 +238,9 @@
 {
     InstanceDirectory directory;
     REQUIRE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1)}), at(0)));
-    directory.storeLost(at(4000));
+    directory.onStoreLost(at(4000));
     directory.storeAvailableThroughout(at(100), at(6500));
-    directory.storeBack(at(7000));
+    directory.onStoreRecovered(at(7000));
     REQUIRE(directory.applySnapshot(snapshotOf(9, {}), at(7010)));
     CHECK(readyIn(directory).empty());
 }
--- a/tests/instances/peerchoicetest.cpp
+++ b/tests/instances/peerchoicetest.cpp
@@ -26,15 +26,15 @@
     Random random(1);
     std::set<Endpoint> seen;
     for (int round = 0; round < 100; ++round) {
-        const auto peers = anyPeers(directory, nodeAddress(0), 2, random);
+        const auto peers = samplePeers(directory, nodeAddress(0), 2, random);
         REQUIRE(peers.size() == 2);
         CHECK(peers[0] != peers[1]);
         seen.insert(peers.begin(), peers.end());
     }
     CHECK(seen.size() == 8);
     CHECK_FALSE(seen.contains(nodeAddress(0)));
-    CHECK(anyPeers(directoryOf(2, regionOf), nodeAddress(0), 2, random) == std::vector<Endpoint>{nodeAddress(1)});
-    CHECK(anyPeers(directoryOf(1, regionOf), nodeAddress(0), 2, random).empty());
+    CHECK(samplePeers(directoryOf(2, regionOf), nodeAddress(0), 2, random) == std::vector<Endpoint>{nodeAddress(1)});
+    CHECK(samplePeers(directoryOf(1, regionOf), nodeAddress(0), 2, random).empty());
 }
 
 // Guards against a region whose nodes query only each other after all of them missed a change.
--- a/tests/sidecar/catalogtest.cpp
+++ b/tests/sidecar/catalogtest.cpp
@@ -260,7 +260,7 @@
     deployment.run([&]() -> asio::awaitable<void> {
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         deployment.catalog.setUnavailable(true);
-        co_await deployment.sleep(CatalogTimes().provenFor + Milliseconds(500));
+        co_await deployment.sleep(CatalogTimes().maxReportAge + Milliseconds(500));
         for (int number = 0; number < LateNodes; ++number) {
             const FakeUpstream &upstream = deployment.addUpstream("i-late-" + std::to_string(number));
             late.push_back(&deployment.addNode(upstream, "statements", {deployment.first.peers}));
