--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -25,7 +25,7 @@
     Mechanism{"declining", "a node may send a request on to a quicker upstream",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.maxQueries = 0; }},
     Mechanism{"comfortable-fill", "upstreams are kept below the fill at which they slow themselves",
-              [](DecisionSettings &decisions) { decisions.queue.comfortableFill = 1.0; }},
+              [](DecisionSettings &decisions) { decisions.queue.maxFill = 1.0; }},
     Mechanism{"jitter", "nodes with the same old news don't all choose the same upstream",
               [](DecisionSettings &decisions) { decisions.ingress.placement.jitter = 0.0; }},
     Mechanism{"warm-up", "upstreams that have just started count as slow",
@@ -46,15 +46,15 @@
     Mechanism{"typical-load", "upstreams of which nothing is known count as typical",
               [](DecisionSettings &decisions) { decisions.ingress.view.assumesTypical = false; }},
     Mechanism{"shut-unreachable", "upstreams whose nodes can't be reached are left alone",
-              [](DecisionSettings &decisions) { decisions.ingress.view.unreachableBase = Duration{0}; }},
+              [](DecisionSettings &decisions) { decisions.ingress.view.baseUnreachableHold = Duration{0}; }},
     Mechanism{"repeat-margin", "nodes use a part only of the shared allowance of repeats",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.usedRetryShare = 1.0; }},
     Mechanism{"return-spread", "callers that were refused together return apart",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.retryAfterSpread = 0.0; }},
     Mechanism{"late-backlog", "few requests that can't be in time may wait",
               [](DecisionSettings &decisions) {
-                  decisions.queue.lateBacklog = Unlimited;
-                  decisions.queue.lateWait = Unlimited;
+                  decisions.queue.maxLateBacklog = Unlimited;
+                  decisions.queue.maxLateWait = Unlimited;
               }},
     Mechanism{"queue-order", "requests that can still be in time begin first, by rank",
               [](DecisionSettings &decisions) { decisions.queue.ordersByUrgency = false; }},
--- a/src/admission/stopadmission.cpp
+++ b/src/admission/stopadmission.cpp
@@ -33,7 +33,7 @@
     end_ = end;
 }
 
-bool StopAdmission::takes(const RouteName &route, TimePoint deadline, TimePoint now) const
+bool StopAdmission::accepts(const RouteName &route, TimePoint deadline, TimePoint now) const
 {
     if (isClosed_) {
         return false;
--- a/src/admission/stopadmission.h
+++ b/src/admission/stopadmission.h
@@ -27,7 +27,7 @@
     void close() { isClosed_ = true; }
 
     /// Whether a request of @p route that arrives at @p now is likely to end before the process does.
-    [[nodiscard]] bool takes(const RouteName &route, TimePoint deadline, TimePoint now) const;
+    [[nodiscard]] bool accepts(const RouteName &route, TimePoint deadline, TimePoint now) const;
     /// Time from @p now until the end of the process; zero if the node is not stopping.
     [[nodiscard]] Duration timeLeft(TimePoint now) const;
 
--- a/src/admission/upstreamaccount.cpp
+++ b/src/admission/upstreamaccount.cpp
@@ -17,13 +17,13 @@
 
 }
 
-void UpstreamAccount::begun(CallId call)
+void UpstreamAccount::onStarted(CallId call)
 {
     openCalls_.push_back({call, std::nullopt});
     ++query_.maxCounted;
 }
 
-void UpstreamAccount::written(CallId call, TimePoint now)
+void UpstreamAccount::onWritten(CallId call, TimePoint now)
 {
     const auto found = std::find_if(openCalls_.begin(), openCalls_.end(),
                                     [call](const OpenCall &openCall) { return openCall.call == call; });
@@ -32,12 +32,12 @@
     }
 }
 
-void UpstreamAccount::answered(CallId call)
+void UpstreamAccount::onAnswered(CallId call)
 {
     removeCall(call, true);
 }
 
-void UpstreamAccount::givenUp(CallId call)
+void UpstreamAccount::onGivenUp(CallId call)
 {
     removeCall(call, false);
 }
@@ -57,7 +57,7 @@
     std::erase_if(lossRecords_, [](const LossRecord &record) { return record.lostCount == 0; });
 }
 
-void UpstreamAccount::asked(TimePoint now)
+void UpstreamAccount::onQuerySent(TimePoint now)
 {
     query_ = {};
     query_.sentAt = now;
@@ -69,7 +69,7 @@
     }
 }
 
-void UpstreamAccount::reported(std::uint32_t held, TimePoint now)
+void UpstreamAccount::onReport(std::uint32_t held, TimePoint now)
 {
     hasCounted_ = hasCounted_ || held > 0;
     externalRequests_ = held > query_.maxCounted ? held - query_.maxCounted : 0;
@@ -98,7 +98,7 @@
     query_.readCalls.clear();
 }
 
-std::vector<CallId> UpstreamAccount::lost() const
+std::vector<CallId> UpstreamAccount::lostCalls() const
 {
     std::set<CallId> lostCalls;
     for (const LossRecord &record : lossRecords_) {
--- a/src/admission/upstreamaccount.h
+++ b/src/admission/upstreamaccount.h
@@ -26,23 +26,23 @@
 {
 public:
     /// The node starts to write a request to the upstream. Precondition: this was not called for @p call before.
-    void begun(CallId call);
+    void onStarted(CallId call);
     /// The request was written completely.
-    void written(CallId call, TimePoint now);
+    void onWritten(CallId call, TimePoint now);
     /// The upstream has started to answer.
-    void answered(CallId call);
+    void onAnswered(CallId call);
     /// The connection of the request ended without an answer. The upstream may continue to work on the request.
-    void givenUp(CallId call);
+    void onGivenUp(CallId call);
 
     /// A query for the upstream's number of requests was sent. Only one query is in flight at a time.
-    void asked(TimePoint now);
+    void onQuerySent(TimePoint now);
     /// The upstream answered the query: it runs or queues @p held requests.
-    void reported(std::uint32_t held, TimePoint now);
+    void onReport(std::uint32_t held, TimePoint now);
 
     /// Requests at the upstream that no call of this node waits for, as of the last report.
-    [[nodiscard]] std::uint32_t others() const { return externalRequests_; }
+    [[nodiscard]] std::uint32_t externalRequests() const { return externalRequests_; }
     /// Calls that the upstream has lost. Each call stays in the result until it ends.
-    [[nodiscard]] std::vector<CallId> lost() const;
+    [[nodiscard]] std::vector<CallId> lostCalls() const;
 
 private:
     /// States that lostCount of the candidates are lost.
--- a/src/admission/workqueue.cpp
+++ b/src/admission/workqueue.cpp
@@ -64,7 +64,7 @@
 std::uint32_t WorkQueue::limit() const
 {
     // The largest number of calls that does not exceed the fill level at which the upstream slows itself down.
-    return std::max(1U, static_cast<std::uint32_t>(std::floor(settings_.comfortableFill * slots_ + RoundingTolerance)));
+    return std::max(1U, static_cast<std::uint32_t>(std::floor(settings_.maxFill * slots_ + RoundingTolerance)));
 }
 
 std::optional<Failure> WorkQueue::rejection(const WorkOffer &offer, TimePoint now) const
@@ -320,7 +320,7 @@
     const Duration targetLength = std::max(queuedCall.offer.target - queuedCall.arrival, Duration{0});
     const TimePoint lateSince =
         std::max(queuedCall.offer.target - serviceTime(queuedCall.offer.route, now), queuedCall.arrival);
-    const Duration allowedLateWait = std::max(scaled(targetLength, settings_.lateWait), Duration{MinLateWait});
+    const Duration allowedLateWait = std::max(scaled(targetLength, settings_.maxLateWait), Duration{MinLateWait});
     return std::min(latestStart(queuedCall.offer, now), lateSince + allowedLateWait);
 }
 
@@ -335,7 +335,7 @@
         std::count_if(queue_.begin(), queue_.end(), [this, start, now](const QueuedCall &queuedCall) {
             return isLate(queuedCall.offer, start, now);
         });
-    return static_cast<double>(lateCalls) < settings_.lateBacklog * limit();
+    return static_cast<double>(lateCalls) < settings_.maxLateBacklog * limit();
 }
 
 std::vector<CallId> WorkQueue::startQueued(TimePoint now)
--- a/src/admission/workqueue.h
+++ b/src/admission/workqueue.h
@@ -38,7 +38,7 @@
 {
     /// Share of its slots up to which an upstream is filled. A nearly full upstream slows itself down and completes
     /// fewer requests than with a slot or two free.
-    double comfortableFill = 0.8;
+    double maxFill = 0.8;
     /// A call is refused, or given up while queued, if the time left before its deadline is less than this share of its
     /// duration at the VM's current slowdown. Work that is cut off at its deadline occupies a slot for nothing.
     double minServiceShare = 0.9;
@@ -48,10 +48,10 @@
     /// Maximum number of queued calls that miss their target, as a share of the limit. Further such calls are refused
     /// at once: during an overload they would wait behind all calls that can still be in time, and would be refused
     /// only at their deadline.
-    double lateBacklog = 1.0;
+    double maxLateBacklog = 1.0;
     /// How long a call stays queued after it can no longer meet its target, as a share of the time from its arrival to
     /// its target. After that it is refused.
-    double lateWait = 0.5;
+    double maxLateWait = 0.5;
     /// Whether calls start after a slow period of the VM if that is quicker; else they start at once.
     bool waitsForSlowPeriodEnd = true;
     /// Whether calls start in the order of goesBefore(); else they start in order of arrival.
--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -148,9 +148,9 @@
 
 void EgressRole::updateAccount(const UpstreamLoadSample &load)
 {
-    account_.reported(load.running + load.waiting, currentTime());
-    slots_.setExternalRequests(account_.others());
-    for (const CallId call : account_.lost()) {
+    account_.onReport(load.running + load.waiting, currentTime());
+    slots_.setExternalRequests(account_.externalRequests());
+    for (const CallId call : account_.lostCalls()) {
         const auto found = requestsAtUpstream_.find(call);
         if (found != requestsAtUpstream_.end()) {
             metrics_.count("egretpath_lost_at_upstream_total");
@@ -169,7 +169,7 @@
     if (opened) {
         HttpClientCall &call = *opened.value();
         const HttpRequestHead head("GET", settings_.healthPath);
-        account_.asked(currentTime());
+        account_.onQuerySent(currentTime());
         if (co_await call.sendRequest(head, std::string())) {
             const auto answer = co_await call.readHead();
             const auto body = co_await call.readCompleteBody(MaxProbeAnswer);
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -71,7 +71,7 @@
 void UpstreamRequest::beginTracking()
 {
     isAtUpstream_ = true;
-    role_.account_.begun(callId_);
+    role_.account_.onStarted(callId_);
     role_.requestsAtUpstream_.emplace(callId_, this);
     startOverdueTimer();
 }
@@ -81,7 +81,7 @@
     if (!std::exchange(isAtUpstream_, false)) {
         return;
     }
-    answered ? role_.account_.answered(callId_) : role_.account_.givenUp(callId_);
+    answered ? role_.account_.onAnswered(callId_) : role_.account_.onGivenUp(callId_);
     role_.requestsAtUpstream_.erase(callId_);
     overdueTimer_.cancel();
     if (std::exchange(isOverdue_, false)) {
@@ -238,7 +238,7 @@
     }
     if (!result && upstreamDisconnected(result.error())) {
         const bool answeredRecently = role_.recentAnswers_.contains(content(), currentTime());
-        role_.exitMonitor_.onConnectionBroken({head_.requestId, fingerprint_.of(content()), answeredRecently});
+        role_.exitMonitor_.onConnectionBroken({head_.requestId, fingerprint_.get(content()), answeredRecently});
     }
     co_return result;
 }
@@ -251,7 +251,7 @@
     const Result<void> sent = co_await httpCall_->sendRequest(makeUpstreamHead(), body_);
     isWriting_ = false;
     if (sent && isAtUpstream_) {
-        role_.account_.written(callId_, currentTime());
+        role_.account_.onWritten(callId_, currentTime());
     }
     writeFinished_.cancel();
 }
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -17,7 +17,7 @@
 #include "quarantine/quarantine.h"
 #include "routes/routetable.h"
 #include "routes/trafficsplit.h"
-#include "routing/exchangesizes.h"
+#include "routing/answersizes.h"
 #include "routing/placement.h"
 #include "routing/placementview.h"
 #include "routing/retrybudget.h"
@@ -80,7 +80,7 @@
     TrafficSplit split;
     PlacementView view;
     Placement placement;
-    ExchangeSizes sizes;
+    AnswerSizes sizes;
     RetryBudget budget;
     CallerPatience patience;
     StopAdmission stop;
--- a/src/ingress/requestparameters.cpp
+++ b/src/ingress/requestparameters.cpp
@@ -67,7 +67,7 @@
 std::optional<Failure> stopRefusal(IngressContext &context, const RequestParameters &parameters)
 {
     const TimePoint now = currentTime();
-    if (context.stop.takes(parameters.route->name, parameters.deadline, now)) {
+    if (context.stop.accepts(parameters.route->name, parameters.deadline, now)) {
         return std::nullopt;
     }
     const auto retryAfter = std::chrono::ceil<Milliseconds>(context.stop.timeLeft(now)) + RestartTime;
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -106,7 +106,7 @@
     PlacementRequest request;
     request.candidates = candidates;
     request.demand.baselineTime = context_->baselineTime(*parameters_.route);
-    request.demand.urgent = parameters_.isUrgent();
+    request.demand.isUrgent = parameters_.isUrgent();
     request.now = currentTime();
     request.targetLeft = parameters_.targetTime - request.now;
     request.bodies = Bytes(content_.body.size() + context_->sizes.typicalAnswerSize(parameters_.route->name).value());
--- a/src/routing/exchangesizes.cpp
+++ b/src/routing/answersizes.cpp
@@ -1,4 +1,4 @@
-#include "routing/exchangesizes.h"
+#include "routing/answersizes.h"
 
 namespace Egretpath
 {
@@ -11,7 +11,7 @@
 
 }
 
-void ExchangeSizes::record(const RouteName &route, Bytes answerSize)
+void AnswerSizes::record(const RouteName &route, Bytes answerSize)
 {
     const auto size = static_cast<double>(answerSize.value());
     const auto [entry, isNew] = bytes_.try_emplace(route, size);
@@ -21,7 +21,7 @@
     overallBytes_ += Gain * (size - overallBytes_);
 }
 
-Bytes ExchangeSizes::typicalAnswerSize(const RouteName &route) const
+Bytes AnswerSizes::typicalAnswerSize(const RouteName &route) const
 {
     const auto found = bytes_.find(route);
     const double mean = found == bytes_.end() ? overallBytes_ : found->second;
--- a/src/routing/exchangesizes.h
+++ b/src/routing/answersizes.h
@@ -14,7 +14,7 @@
 /// KiB and a lookup of some hundred bytes look alike when they arrive.
 ///
 /// Thread safety: none; one owner. Errors: none.
-class ExchangeSizes
+class AnswerSizes
 {
 public:
     /// Records that an answer to a request of @p route had a body of @p answerSize.
--- a/src/routing/placementview.cpp
+++ b/src/routing/placementview.cpp
@@ -78,7 +78,7 @@
 {
     constexpr std::uint32_t MaxDoublings = 10;
     Record &record = records_[upstream];
-    const Duration hold = settings_.unreachableBase * (1U << std::min(record.unreachableCount, MaxDoublings));
+    const Duration hold = settings_.baseUnreachableHold * (1U << std::min(record.unreachableCount, MaxDoublings));
     ++record.unreachableCount;
     record.ejectedUntil = now + std::min(hold, settings_.maxUnreachableHold);
 }
@@ -152,7 +152,7 @@
     const double baseline = inSeconds(demand.baselineTime);
     const double aheadSeconds = meanServiceSeconds_ > 0.0 ? meanServiceSeconds_ : baseline;
     const double queueSeconds =
-        workSeconds(load, aheadSeconds) * (demand.urgent ? load.urgentCallsAhead : load.callsAhead);
+        workSeconds(load, aheadSeconds) * (demand.isUrgent ? load.urgentCallsAhead : load.callsAhead);
     const double penalty = 1.0 + settings_.failureShareFactor * load.failureShare + settings_.failurePenalty * failures;
     return fromSeconds(load.delaySeconds + (queueSeconds + workSeconds(load, baseline)) * penalty);
 }
--- a/src/routing/placementview.h
+++ b/src/routing/placementview.h
@@ -36,7 +36,7 @@
     /// Weight of each of this node's running requests that no report includes yet, in calls ahead.
     double ownRequestWeight = 0.5;
     /// An upstream whose node can't be reached is ejected for this time. Each further failure doubles the time.
-    Duration unreachableBase = Milliseconds{150};
+    Duration baseUnreachableHold = Milliseconds{150};
     Duration maxUnreachableHold = std::chrono::seconds{3};
 };
 
@@ -46,7 +46,7 @@
     /// Duration of the request on an idle upstream whose VM is not slowed down.
     Duration baselineTime{0};
     /// Whether the request goes before all queued calls.
-    bool urgent = false;
+    bool isUrgent = false;
 };
 
 /// Tracks what one ingress knows of the upstreams' load: the slowdown of their VMs, and the running and queued calls.
--- a/tests/admission/stopadmissiontest.cpp
+++ b/tests/admission/stopadmissiontest.cpp
@@ -31,8 +31,8 @@
 TEST_CASE("a node that is not stopping accepts all requests")
 {
     const StopAdmission admission = trainedAdmission();
-    CHECK(admission.takes(Report, at(60'000), at(0)));
-    CHECK(admission.takes(RouteName("unknown"), at(60'000), at(0)));
+    CHECK(admission.accepts(Report, at(60'000), at(0)));
+    CHECK(admission.accepts(RouteName("unknown"), at(60'000), at(0)));
     CHECK(admission.timeLeft(at(0)) == Duration{0});
 }
 
@@ -43,12 +43,12 @@
 {
     StopAdmission admission = trainedAdmission();
     admission.begin(at(6000));
-    CHECK(admission.takes(Report, at(7500), at(1500)));
-    CHECK_FALSE(admission.takes(Report, at(9000), at(3500)));
-    CHECK_FALSE(admission.takes(Report, at(10'100), at(4100)));
-    CHECK(admission.takes(Lookup, at(10'100), at(4100)));
-    CHECK(admission.takes(Lookup, at(11'800), at(5800)));
-    CHECK_FALSE(admission.takes(Lookup, at(11'950), at(5950)));
+    CHECK(admission.accepts(Report, at(7500), at(1500)));
+    CHECK_FALSE(admission.accepts(Report, at(9000), at(3500)));
+    CHECK_FALSE(admission.accepts(Report, at(10'100), at(4100)));
+    CHECK(admission.accepts(Lookup, at(10'100), at(4100)));
+    CHECK(admission.accepts(Lookup, at(11'800), at(5800)));
+    CHECK_FALSE(admission.accepts(Lookup, at(11'950), at(5950)));
     CHECK(admission.timeLeft(at(4100)) == Milliseconds(1900));
 }
 
@@ -58,16 +58,16 @@
 {
     StopAdmission admission = trainedAdmission();
     admission.begin(at(1000));
-    CHECK(admission.takes(Lookup, at(3000), at(0)));
-    CHECK_FALSE(admission.takes(Report, at(3000), at(0)));
+    CHECK(admission.accepts(Lookup, at(3000), at(0)));
+    CHECK_FALSE(admission.accepts(Report, at(3000), at(0)));
 }
 
 TEST_CASE("a stopping node judges a route without answers by the deadline")
 {
     StopAdmission admission;
     admission.begin(at(6000));
-    CHECK(admission.takes(Report, at(5900), at(2900)));
-    CHECK_FALSE(admission.takes(Report, at(6100), at(3100)));
+    CHECK(admission.accepts(Report, at(5900), at(2900)));
+    CHECK_FALSE(admission.accepts(Report, at(6100), at(3100)));
 }
 
 TEST_CASE("a closed node accepts no request")
@@ -75,5 +75,5 @@
     StopAdmission admission = trainedAdmission();
     admission.begin(at(6000));
     admission.close();
-    CHECK_FALSE(admission.takes(Lookup, at(1000), at(0)));
+    CHECK_FALSE(admission.accepts(Lookup, at(1000), at(0)));
 }
--- a/tests/admission/upstreamaccounttest.cpp
+++ b/tests/admission/upstreamaccounttest.cpp
@@ -17,16 +17,16 @@
 {
     UpstreamAccount account;
     for (unsigned call = 1; call <= count; ++call) {
-        account.begun(CallId(call));
-        account.written(CallId(call), at(0));
+        account.onStarted(CallId(call));
+        account.onWritten(CallId(call), at(0));
     }
     return account;
 }
 
 void queryUpstream(UpstreamAccount &account, int sentAt, std::uint32_t held)
 {
-    account.asked(at(sentAt));
-    account.reported(held, at(sentAt + 2));
+    account.onQuerySent(at(sentAt));
+    account.onReport(held, at(sentAt + 2));
 }
 
 }
@@ -35,13 +35,13 @@
 {
     UpstreamAccount account = accountWithCalls(2);
     queryUpstream(account, 100, 2);
-    account.answered(CallId(1));
+    account.onAnswered(CallId(1));
     queryUpstream(account, 300, 0);
-    CHECK(account.lost().empty());
+    CHECK(account.lostCalls().empty());
     queryUpstream(account, 450, 0);
-    CHECK(account.lost() == std::vector<CallId>{CallId(2)});
-    account.givenUp(CallId(2));
-    CHECK(account.lost().empty());
+    CHECK(account.lostCalls() == std::vector<CallId>{CallId(2)});
+    account.onGivenUp(CallId(2));
+    CHECK(account.lostCalls().empty());
 }
 
 // Guards against ending a running request instead of the one that was lost.
@@ -51,11 +51,11 @@
     queryUpstream(account, 100, 2);
     queryUpstream(account, 300, 2);
     queryUpstream(account, 500, 2);
-    CHECK(account.lost().empty());
-    account.answered(CallId(3));
-    CHECK(account.lost().empty());
-    account.answered(CallId(1));
-    CHECK(account.lost() == std::vector<CallId>{CallId(2)});
+    CHECK(account.lostCalls().empty());
+    account.onAnswered(CallId(3));
+    CHECK(account.lostCalls().empty());
+    account.onAnswered(CallId(1));
+    CHECK(account.lostCalls() == std::vector<CallId>{CallId(2)});
 }
 
 // Guards against ending a request whose answer was sent just before the upstream counted.
@@ -64,10 +64,10 @@
     UpstreamAccount account = accountWithCalls(2);
     queryUpstream(account, 90, 2);
     queryUpstream(account, 100, 1);
-    account.answered(CallId(1));
+    account.onAnswered(CallId(1));
     queryUpstream(account, 300, 1);
     queryUpstream(account, 500, 1);
-    CHECK(account.lost().empty());
+    CHECK(account.lostCalls().empty());
 }
 
 TEST_CASE("a call that was given up may have been the lost call")
@@ -75,23 +75,23 @@
     UpstreamAccount account = accountWithCalls(3);
     queryUpstream(account, 100, 2);
     queryUpstream(account, 300, 2);
-    account.givenUp(CallId(1));
-    account.answered(CallId(2));
-    CHECK(account.lost().empty());
+    account.onGivenUp(CallId(1));
+    account.onAnswered(CallId(2));
+    CHECK(account.lostCalls().empty());
 }
 
 TEST_CASE("calls that are being written or were just written are not expected in the count")
 {
     UpstreamAccount account = accountWithCalls(1);
     queryUpstream(account, 60, 1);
-    account.answered(CallId(1));
-    account.begun(CallId(2));
-    account.written(CallId(2), at(100));
-    account.begun(CallId(3));
+    account.onAnswered(CallId(1));
+    account.onStarted(CallId(2));
+    account.onWritten(CallId(2), at(100));
+    account.onStarted(CallId(3));
     queryUpstream(account, 120, 0);
     queryUpstream(account, 300, 1);
     queryUpstream(account, 500, 1);
-    CHECK(account.lost().empty());
+    CHECK(account.lostCalls().empty());
 }
 
 // Guards against an upstream that always reports zero requests.
@@ -101,21 +101,21 @@
     for (int time = 100; time < 3000; time += 200) {
         queryUpstream(account, time, 0);
     }
-    CHECK(account.lost().empty());
-    CHECK(account.others() == 0);
+    CHECK(account.lostCalls().empty());
+    CHECK(account.externalRequests() == 0);
 }
 
 TEST_CASE("requests at the upstream beyond this node's calls count as external requests")
 {
     UpstreamAccount account = accountWithCalls(2);
-    account.asked(at(100));
-    account.begun(CallId(3));
-    account.reported(6, at(102));
+    account.onQuerySent(at(100));
+    account.onStarted(CallId(3));
+    account.onReport(6, at(102));
     // The upstream may have counted the third call.
-    CHECK(account.others() == 3);
-    account.givenUp(CallId(1));
+    CHECK(account.externalRequests() == 3);
+    account.onGivenUp(CallId(1));
     queryUpstream(account, 300, 3);
-    CHECK(account.others() == 1);
+    CHECK(account.externalRequests() == 1);
     queryUpstream(account, 500, 2);
-    CHECK(account.others() == 0);
+    CHECK(account.externalRequests() == 0);
 }
--- a/tests/replay/replaytest.cpp
+++ b/tests/replay/replaytest.cpp
@@ -112,7 +112,7 @@
 TEST_CASE("upstreams that are kept below the fill from which they slow themselves finish more")
 {
     ReplaySettings allSlots;
-    allSlots.decisions.queue.comfortableFill = 1.0;
+    allSlots.decisions.queue.maxFill = 1.0;
     CHECK(ownBurst().worth() > meanOf(burst(), allSlots).worth() + 0.08);
     CHECK(ownOverload().worth() > meanOf(overload(), allSlots).worth() + 0.2);
 }
@@ -122,8 +122,8 @@
 TEST_CASE("requests that can't be in time are refused while their callers can still come back")
 {
     ReplaySettings waiting;
-    waiting.decisions.queue.lateBacklog = 1000.0;
-    waiting.decisions.queue.lateWait = 1000.0;
+    waiting.decisions.queue.maxLateBacklog = 1000.0;
+    waiting.decisions.queue.maxLateWait = 1000.0;
     const ReplayResult &own = ownOverload();
     const ReplayResult held = meanOf(overload(), waiting);
     CHECK(own.failed < 0.005);
--- a/tests/routing/placementtest.cpp
+++ b/tests/routing/placementtest.cpp
@@ -1,5 +1,5 @@
 #include "routing/placement.h"
-#include "routing/exchangesizes.h"
+#include "routing/answersizes.h"
 
 #include <catch2/catch.hpp>
 
@@ -130,7 +130,7 @@
 
 TEST_CASE("the typical answer size is the mean of the route")
 {
-    ExchangeSizes sizes;
+    AnswerSizes sizes;
     CHECK(sizes.typicalAnswerSize(RouteName("lookup")) == Bytes(0));
     for (int count = 0; count < 100; ++count) {
         sizes.record(RouteName("lookup"), Bytes(200));
