--- a/src/rpc/asioeventport.cpp
+++ b/src/rpc/asioeventport.cpp
@@ -12,17 +12,19 @@
 {
 }
 
-/// Coroutines that end with the io_context drop promises, whose ends are events of KJ's loop, and a loop that is
-/// destroyed with events in its queue ends the process. Those events may post to the io_context again, so that it has
-/// to live on without its work until the queue is empty.
+/// Empties the event queue of KJ's loop before the loop is destroyed.
+///
+/// The coroutines that are destroyed with the io_context drop promises, which adds events to the queue of KJ's loop. KJ
+/// ends the process if a loop is destroyed while its queue has events. These events may post to the io_context again,
+/// so the io_context stays alive without handlers until the queue is empty.
 AsioEventPort::~AsioEventPort() noexcept(false)
 {
-    constexpr int MostRounds = 16;
-    scheduled_ = true;
-    context_.destroyWork();
-    for (int round = 0; round < MostRounds && loop_.isRunnable(); ++round) {
+    constexpr int MaxRounds = 16;
+    isScheduled_ = true;
+    context_.destroyHandlers();
+    for (int round = 0; round < MaxRounds && loop_.isRunnable(); ++round) {
         loop_.run();
-        context_.destroyWork();
+        context_.destroyHandlers();
     }
 }
 
@@ -38,19 +40,19 @@
 
 void AsioEventPort::setRunnable(bool runnable)
 {
-    if (!runnable || scheduled_) {
+    if (!runnable || isScheduled_) {
         return;
     }
-    scheduled_ = true;
+    isScheduled_ = true;
     boost::asio::post(context_, [this] { runQueue(); });
 }
 
 void AsioEventPort::runQueue()
 {
-    // Bounded, so that a chain of promises cannot keep sockets and timers waiting.
-    constexpr unsigned MaximumTurns = 256;
-    scheduled_ = false;
-    loop_.run(MaximumTurns);
+    // Limited, so that a long chain of promises does not delay sockets and timers.
+    constexpr unsigned MaxTurns = 256;
+    isScheduled_ = false;
+    loop_.run(MaxTurns);
     if (loop_.isRunnable()) {
         setRunnable(true);
     }
--- a/src/rpc/asioeventport.h
+++ b/src/rpc/asioeventport.h
@@ -6,17 +6,17 @@
 namespace Egretpath
 {
 
-/// An Asio io_context that also runs KJ's event loop, on which Cap'n Proto RPC is built, on one thread.
+/// An Asio io_context that also runs KJ's event loop, on which Cap'n Proto RPC is built, on the same thread.
 ///
-/// KJ tells the port when its queue becomes non-empty; the port then posts one run of that queue to Asio. So both
-/// loops share one thread, one poll and no locks; KJ's own poll loop would need a second thread.
+/// KJ tells the port when its event queue becomes non-empty; the port then posts one run of that queue to Asio. Both
+/// loops so share one thread and one poll and need no locks. KJ's own poll loop would need a second thread.
 ///
-/// Preconditions: one instance for each thread; the io_context runs on the thread that made the instance.
+/// Preconditions: at most one instance for each thread; the io_context runs on the thread that created the instance.
 /// Promise::wait() must not be called on this loop. Thread safety: none.
 class AsioEventPort final : private kj::EventPort
 {
 public:
-    /// Enters the scope of the new loop on the calling thread. Errors: none.
+    /// Enters the wait scope of the new loop on the calling thread. Errors: none.
     AsioEventPort();
     ~AsioEventPort() noexcept(false);
     AsioEventPort(const AsioEventPort &) = delete;
@@ -25,11 +25,11 @@
     [[nodiscard]] boost::asio::io_context &context() { return context_; }
 
 private:
-    /// An io_context whose handlers and coroutines can be destroyed before it is itself.
+    /// An io_context whose pending handlers and coroutines can be destroyed before the io_context itself.
     class Context : public boost::asio::io_context
     {
     public:
-        void destroyWork() { shutdown(); }
+        void destroyHandlers() { shutdown(); }
     };
 
     bool wait() override;
@@ -37,10 +37,11 @@
     void setRunnable(bool runnable) override;
     void runQueue();
 
-    bool scheduled_ = false;
+    bool isScheduled_ = false;
     kj::EventLoop loop_;
     kj::WaitScope scope_;
-    // Destroyed first: handlers and coroutines that are still pending own promises, which need the loop to end.
+    // Declared last and so destroyed first: pending handlers and coroutines own promises, and a promise can only be
+    // destroyed while its loop exists.
     Context context_;
 };
 
--- a/src/rpc/asiostream.cpp
+++ b/src/rpc/asiostream.cpp
@@ -54,7 +54,7 @@
 kj::Promise<void> AsioStream::whenReady(asio::ip::tcp::socket::wait_type kind)
 {
     auto pair = kj::newPromiseAndFulfiller<void>();
-    // The outcome of the wait is not looked at: the read or write that follows reports the error of the socket.
+    // The error of the wait is ignored: the read or write that follows reports the error of the socket.
     socket_.async_wait(kind, [fulfiller = kj::mv(pair.fulfiller)](const boost::system::error_code &) mutable {
         fulfiller->fulfill();
     });
--- a/src/rpc/asiostream.h
+++ b/src/rpc/asiostream.h
@@ -12,17 +12,18 @@
 namespace Egretpath
 {
 
-/// A TCP connection of Asio as the byte stream that Cap'n Proto RPC reads and writes.
+/// Adapts an Asio TCP connection to the byte stream that Cap'n Proto RPC reads and writes.
 ///
-/// Waits for readiness and then reads or writes without blocking, so that no buffer is lent to a pending operation:
-/// a promise that is dropped in the middle leaves nothing behind that could write into freed memory.
+/// Waits until the socket is ready and then reads or writes without blocking, so that no pending operation refers to a
+/// buffer: when a promise is dropped midway, no operation is left that could write into freed memory.
 ///
 /// Preconditions: an AsioEventPort lives on this thread. Thread safety: none. Errors: kj::Exception of type
 /// DISCONNECTED through the promises.
 class AsioStream final : public kj::AsyncIoStream
 {
 public:
-    /// Takes over the connected @p socket. Errors: boost::system::system_error if it can't be made non-blocking.
+    /// Takes ownership of the connected @p socket. Errors: boost::system::system_error if it can't be made
+    /// non-blocking.
     explicit AsioStream(boost::asio::ip::tcp::socket socket);
     ~AsioStream() noexcept(false);
 
@@ -33,9 +34,9 @@
     void shutdownWrite() override;
     void abortRead() override;
 
-    /// Bytes read and written so far; they are the cost of what passes here.
+    /// Bytes read and written so far: the cost of the connection on a link that is paid for by volume.
     [[nodiscard]] std::uint64_t bytesTransferred() const { return bytesTransferred_; }
-    /// When bytes arrived last; the time of its making before.
+    /// When bytes last arrived; if none have arrived yet, when the stream was created.
     [[nodiscard]] TimePoint lastArrival() const { return lastArrival_; }
 
 private:
--- a/src/rpc/cancellation.h
+++ b/src/rpc/cancellation.h
@@ -6,46 +6,47 @@
 namespace Egretpath
 {
 
-/// Tells work in progress that nobody waits for it any more.
+/// Tells work in progress that its result is no longer needed.
 ///
-/// Shared by the one who may lose interest and the one who works. Thread safety: none. Errors: none.
+/// Shared by the code that may cancel and the code that does the work. Thread safety: none. Errors: none.
 class Cancellation
 {
 public:
     /// Whether cancel() was called.
-    [[nodiscard]] bool isCancelled() const { return cancelled_; }
+    [[nodiscard]] bool isCancelled() const { return isCancelled_; }
 
-    /// Calls @p action on cancellation, at once if that was earlier. Replaces an action set before.
+    /// Sets the @p action that cancel() calls, and calls it at once if cancel() was called before. Replaces an earlier
+    /// action.
     void setAction(std::function<void()> action)
     {
         action_ = std::move(action);
-        if (cancelled_) {
-            run();
+        if (isCancelled_) {
+            runAction();
         }
     }
 
-    /// Forgets the action; call it when the work has ended.
+    /// Removes the action. To be called when the work has ended.
     void clearAction() { action_ = nullptr; }
 
-    /// Further calls do nothing.
+    /// Calls the action. Further calls do nothing.
     void cancel()
     {
-        if (!std::exchange(cancelled_, true)) {
-            run();
+        if (!std::exchange(isCancelled_, true)) {
+            runAction();
         }
     }
 
 private:
-    void run()
+    void runAction()
     {
-        // Moved out first, since the action may destroy what owns it.
+        // Moved out first, since the action may destroy the object that owns it.
         const auto action = std::exchange(action_, nullptr);
         if (action) {
             action();
         }
     }
 
-    bool cancelled_ = false;
+    bool isCancelled_ = false;
     std::function<void()> action_;
 };
 
--- a/src/rpc/kjawait.h
+++ b/src/rpc/kjawait.h
@@ -18,46 +18,46 @@
 namespace Egretpath
 {
 
-/// How a promise of KJ ended: with a value or with an exception.
+/// The result of a KJ promise: a value or an exception.
 template<typename Value>
-struct Settled
+struct PromiseResult
 {
     std::optional<Value> value;
     std::optional<kj::Exception> error;
 };
 
-/// Suspends an Asio coroutine until @p promise has settled. Dropping the coroutine cancels the promise.
+/// Suspends an Asio coroutine until @p promise is fulfilled or rejected. Destroying the coroutine cancels the promise.
 ///
 /// Preconditions: an AsioEventPort lives on this thread. Thread safety: none. Errors: in the returned value.
 template<typename Value>
-boost::asio::awaitable<Settled<Value>> settle(kj::Promise<Value> promise)
+boost::asio::awaitable<PromiseResult<Value>> awaitPromise(kj::Promise<Value> promise)
 {
     namespace asio = boost::asio;
-    Settled<Value> settled;
+    PromiseResult<Value> result;
     kj::Promise<void> task = nullptr;
     const asio::any_io_executor executor = co_await asio::this_coro::executor;
     co_await asio::async_initiate<const asio::use_awaitable_t<> &, void()>(
         [&](auto handler) {
             auto resume = std::make_shared<decltype(handler)>(std::move(handler));
-            // Resumed through the executor: the promise must not be destroyed by its own continuation.
+            // Resumes through the executor, since a promise must not be destroyed by its own continuation.
             task = promise
                        .then(
-                           [&settled, resume, executor](Value &&value) {
-                               settled.value.emplace(kj::mv(value));
+                           [&result, resume, executor](Value &&value) {
+                               result.value.emplace(kj::mv(value));
                                asio::post(executor, [resume] { (*resume)(); });
                            },
-                           [&settled, resume, executor](kj::Exception &&error) {
-                               settled.error.emplace(kj::mv(error));
+                           [&result, resume, executor](kj::Exception &&error) {
+                               result.error.emplace(kj::mv(error));
                                asio::post(executor, [resume] { (*resume)(); });
                            })
                        .eagerlyEvaluate(nullptr);
         },
         asio::use_awaitable);
-    co_return std::move(settled);
+    co_return std::move(result);
 }
 
-/// The promise of the value that coroutine @p work returns. Dropping the promise does not stop the coroutine; work that
-/// has to end then is told so by its own means.
+/// Starts coroutine @p work and returns a promise of its value. Dropping the promise does not stop the coroutine; work
+/// that has to stop then needs a signal of its own, such as a Cancellation.
 ///
 /// Preconditions: an AsioEventPort lives on this thread. Thread safety: none. Errors: exceptions of the coroutine
 /// reject the promise.
--- a/src/rpc/peer.capnp
+++ b/src/rpc/peer.capnp
@@ -1,5 +1,5 @@
 @0xb3f1c6a2d94e7085;
-# Messages between the nodes of egretpath. Times are microseconds unless named otherwise.
+# Messages between the nodes of egretpath. Times are in microseconds unless a comment says otherwise.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("Egretpath::Wire");
@@ -21,21 +21,22 @@
   serviceTime @3 :UInt32;
   leaving @4 :Bool;
   pacePercent @5 :UInt16;
-  # How long work takes on the VM at this moment; 100 is usual, 0 unknown.
+  # The VM's slowdown: how long work takes on it now, in percent of the baseline. 100 is normal, 0 is unknown.
   meanService @6 :UInt32;
-  # Of calls of all kinds, at the VM's usual pace.
+  # Smoothed service time of calls of all kinds, at the VM's baseline speed. 0 is unknown.
   failurePercent @7 :UInt8;
-  # Of the upstream's latest answers.
+  # Failures among the upstream's latest answers.
   arrivalDelay @8 :UInt32;
-  # By which calls reach the node later than on a free link.
+  # How much later calls reach the node than they would on an idle link.
   spellLeft @9 :UInt32;
-  # Until the VM's slow spell is expected to end, if calls wait for that at the node; else zero.
+  # Time until the VM's slow period is expected to end, if calls wait for the end at the node; otherwise zero.
   settledPacePercent @10 :UInt16;
-  # The pace that is expected then; pacePercent while there is no spell to wait for.
+  # The slowdown that is expected after the slow period; pacePercent if there is no slow period to wait for.
 }
 
 struct CatalogMark {
-  # Which routes and list a node has, so that one that missed a change learns of it from any other.
+  # The versions of the routes and of the instance list that a node has, so that a node that missed a change learns of
+  # it from any other node.
   routes @0 :UInt64;
   list @1 :UInt64;
 }
@@ -49,26 +50,26 @@
   target @5 :Text;
   headers @6 :List(Header);
   remaining @7 :UInt64;
-  # Until the deadline.
+  # Time until the deadline.
   sentAt @8 :Int64;
-  # Boot clock of the sender; only differences within one incarnation mean anything.
+  # Boot clock of the sender. Only differences between times of one incarnation are meaningful.
   repeatable @9 :Bool;
   targetUpstream @10 :Text;
-  # The id under which the upstream registered that must run the call; empty: any.
+  # The registered id of the upstream that must run the call; empty allows any.
   callerService @11 :Text;
-  # The service beside whose VM the request began.
+  # The service on the VM where the request began.
   route @12 :Text;
   priority @13 :UInt8;
   # 0 is the most urgent.
   targetLatency @14 :Int64;
-  # Until an answer loses most of its worth; may be negative.
+  # Time left of the latency target, after which an answer has lost most of its value; may be negative.
   acceptable @15 :UInt64;
-  # The egress declines a call that it expects to take longer than this, since another upstream is thought to be
-  # quicker. Zero: it takes the call whenever the deadline can be met.
+  # The egress declines a call that it expects to take longer than this, since the ingress expects another upstream to
+  # be quicker. Zero: the egress takes every call that can meet its deadline.
   question @16 :Bool;
-  # The body is not here, and nothing is to be run: would the egress take the call now?
+  # A dry run: asks whether the egress would take the call now. The message has no body, and nothing is run.
   brokeOff @17 :Text;
-  # The id of the upstream that last broke off while it ran the call, in an earlier try; empty: none did.
+  # The id of the upstream that last disconnected while it ran the call in an earlier try; empty if none did.
 }
 
 struct Failure {
@@ -91,10 +92,10 @@
     failure @3 :Failure;
     answer @4 :Answer;
     streamed @5 :Void;
-    # The whole answer went through the AnswerSink.
+    # The whole answer was sent through the AnswerSink.
   }
   quarantine @6 :UInt64;
-  # Names the set of requests that the node refuses, since they end upstreams; zero: none.
+  # Identifies the set of requests that the node refuses because they crash upstreams; zero: none.
 }
 
 struct Answer {
@@ -118,7 +119,7 @@
   slots @6 :UInt32;
   draining @7 :Bool;
   warmUp @8 :UInt32;
-  # Milliseconds.
+  # In milliseconds.
   revision @9 :UInt64;
 }
 
@@ -129,55 +130,58 @@
 
 struct Catalog {
   routesVersion @0 :UInt64;
-  # Zero: the sender has none.
+  # Zero: the sender has no routes.
   routes @1 :Data;
-  # As the platform published them, compressed by zlib; empty if the asker has them.
+  # As the platform published them, compressed with zlib; empty if the requesting node has them.
   revision @2 :UInt64;
-  # Of the sender's list; zero: it has none.
+  # Revision of the sender's list; zero: it has no list.
   whole @3 :Bool;
-  # The instances are the whole list; else what changed after the asker's revision.
+  # Whether the instances are the whole list. Otherwise they are the changes after the requesting node's revision.
   instances @4 :List(InstanceRecord);
   gone @5 :List(GoneInstance);
   inOrder @6 :Bool;
-  # The platform's store can be read where this comes from, and nothing may have lapsed from the list.
+  # The platform's store can be read by the sender or the node that reads it for the sender, and no entry can be missing
+  # from the list because it expired during an outage of the store.
   hops @7 :UInt8;
-  # Nodes between the sender and the store: 0 for one that reads it.
+  # Number of nodes between the sender and the store: 0 for a sender that reads the store itself.
   routesAge @8 :UInt32;
   # Milliseconds since a node read the sender's routes from the store.
   listAge @9 :UInt32;
-  # As above, of the sender's list.
+  # Milliseconds since a node read the newest change of the sender's list from the store.
   held @10 :UInt32;
-  # Milliseconds that the sender kept the question, since it had nothing newer.
+  # Milliseconds for which the sender held the request because it had nothing newer.
   store @11 :UInt8;
-  # Where this comes from, and not in order: 1 back since a moment, 2 away. Nodes of an earlier version say nothing.
+  # State of the store if inOrder is false: 1 recovering (it became readable a moment ago), 2 unavailable. Nodes of an
+  # earlier version don't set it.
   reader @12 :Text;
   # The node that reads the store for the sender.
   storeAge @13 :UInt32;
-  # Milliseconds since that node last did.
+  # Milliseconds since that node last read the store.
   inOrderFor @14 :UInt32;
-  # Milliseconds for which it has read the store without a loss; zero is also said by nodes of an earlier version.
+  # Milliseconds for which that node has been able to read the store without interruption. Zero also comes from nodes of
+  # an earlier version.
   quarantine @15 :UInt64;
-  # As in CallOutcome.
+  # As in CallOutcome, for the sender.
 }
 
 struct UpstreamCrash {
   id @0 :UInt64;
   upstreamFlaps @1 :Bool;
-  # It has ended again and again with no request to blame.
+  # Whether the upstream has crashed repeatedly without a request that explains it.
 }
 
 struct SuspectedRequest {
   fingerprintHigh @0 :UInt64;
   fingerprintLow @1 :UInt64;
   crashes @2 :List(UpstreamCrash);
-  # Those of upstreams that held the request.
+  # The crashes of upstreams that held the request.
   age @3 :UInt32;
-  # Milliseconds since the last of them.
+  # Milliseconds since the latest of these crashes.
 }
 
 struct QuarantineNews {
   mark @0 :UInt64;
-  # As in CallOutcome, of the sender.
+  # Identifies the set of requests that the sender refuses, as in CallOutcome.
   requests @1 :List(SuspectedRequest);
 }
 
@@ -185,7 +189,7 @@
   call @0 (head :CallHead, body :Data, answer :AnswerSink) -> (outcome :CallOutcome);
   probe @1 () -> (identity :Identity, report :LoadReport);
   catalog @2 (haveRoutes :UInt64, haveRevision :UInt64, wait :UInt32, known :UInt8) -> (catalog :Catalog);
-  # Returns when the node has something newer, its store is another than known, or after so many milliseconds.
+  # Returns when the node has something newer, when its store state differs from known, or after wait milliseconds.
   quarantine @3 (news :QuarantineNews) -> (news :QuarantineNews);
-  # What the sender knows of requests that end upstreams, for what the node knows more.
+  # Takes what the sender knows of requests that crash upstreams; returns what the node knows beyond that.
 }
--- a/src/rpc/peerclient.cpp
+++ b/src/rpc/peerclient.cpp
@@ -27,10 +27,10 @@
 namespace
 {
 
-/// A connection that can't be made within this time is given up, so that another upstream can still be tried.
-constexpr Milliseconds ConnectLimit{250};
+/// A connection attempt that takes longer is given up, so that there is still time to try another upstream.
+constexpr Milliseconds ConnectTimeout{250};
 
-/// Hands the pieces of a large answer to the call that waits for them.
+/// Passes the pieces of a large answer to the receiver of the call that waits for the answer.
 class AnswerSinkServer final : public Wire::AnswerSink::Server
 {
 public:
@@ -43,21 +43,21 @@
 protected:
     kj::Promise<void> begin(BeginContext context) override
     {
-        return check(receiver_->begin(WireConversion::read(context.getParams().getHead())));
+        return rejectUnlessAccepted(receiver_->begin(WireConversion::read(context.getParams().getHead())));
     }
 
     kj::Promise<void> write(WriteContext context) override
     {
-        return check(receiver_->write(WireConversion::readBytes(context.getParams().getChunk())));
+        return rejectUnlessAccepted(receiver_->write(WireConversion::readBytes(context.getParams().getChunk())));
     }
 
-    kj::Promise<void> end(EndContext /*context*/) override { return check(receiver_->end()); }
+    kj::Promise<void> end(EndContext /*context*/) override { return rejectUnlessAccepted(receiver_->end()); }
 
 private:
-    kj::Promise<void> check(asio::awaitable<bool> work)
+    kj::Promise<void> rejectUnlessAccepted(asio::awaitable<bool> work)
     {
-        return toPromise(executor_, std::move(work)).then([](bool taken) {
-            if (!taken) {
+        return toPromise(executor_, std::move(work)).then([](bool isAccepted) {
+            if (!isAccepted) {
                 kj::throwRecoverableException(KJ_EXCEPTION(FAILED, "the caller is gone"));
             }
         });
@@ -67,27 +67,28 @@
     std::shared_ptr<AnswerReceiver> receiver_;
 };
 
-/// Longer than a call takes at a busy upstream on a slow VM, and short against the time-outs of requests.
-constexpr Milliseconds SilenceLimit{500};
+/// How long a connection may deliver nothing while a call waits. Longer than a call takes at a busy upstream on a slow
+/// VM, and short compared with the timeouts of requests.
+constexpr Milliseconds MaxSilence{500};
 
-/// A body beyond this size goes over the connection for such bodies.
-constexpr std::size_t BulkBytes = std::size_t{16} * 1024;
+/// A larger body is sent on the bulk connection.
+constexpr std::size_t MaxRegularBodyBytes = std::size_t{16} * 1024;
 
-/// Which of the connections to a peer a call takes.
+/// Which of the connections to a peer a call uses.
 ///
-/// Messages of one connection arrive in their order: a large body takes a quarter of a second on a link of little
-/// bandwidth, and a short call behind it would wait for all of it.
-enum class Lane : std::uint8_t { Calls, Bulk };
+/// Messages on one connection arrive in the order in which they were sent. A large body takes a quarter of a second on
+/// a link with little bandwidth, and a short call behind it would wait for all of it.
+enum class TrafficClass : std::uint8_t { Regular, Bulk };
 
-struct PeerAddress
+struct ConnectionKey
 {
     Endpoint peer;
-    Lane lane = Lane::Calls;
+    TrafficClass trafficClass = TrafficClass::Regular;
 
-    friend auto operator<=>(const PeerAddress &, const PeerAddress &) = default;
+    friend auto operator<=>(const ConnectionKey &, const ConnectionKey &) = default;
 };
 
-/// One connection to a peer with its RPC state.
+/// A connection to a peer with its RPC state.
 struct PeerConnection
 {
     PeerConnection(tcp::socket socket, PeerCoding coding)
@@ -111,38 +112,39 @@
     capnp::RpcSystem<capnp::rpc::twoparty::VatId> system;
     Wire::Node::Client node;
     kj::Promise<void> disconnected = nullptr;
-    /// Whether a call has waited long while nothing at all arrived.
+    /// Whether a call has waited longer than MaxSilence for an answer while no bytes arrived.
     ///
-    /// Guards against a connection that has fallen silent without an error, as when something on the way forgot it: the
-    /// system's own probes may still be answered there, and each call sent on it would wait for its whole deadline. A
-    /// slow peer shows the same for a while, so that the connection is only left, not closed: its answers still count.
+    /// Detects a connection that stopped delivering without an error, for example because a network device between the
+    /// nodes dropped its state. The device may still answer TCP keepalive probes, and each new call on the connection
+    /// would wait until its deadline. A slow peer looks the same for a while, so the connection gets no new calls but
+    /// is not closed: answers that still arrive on it are accepted.
     [[nodiscard]] bool isSilent(TimePoint now) const
     {
-        if (openSince.empty()) {
+        if (answerDueTimes.empty()) {
             return false;
         }
-        return now - std::max(*openSince.begin(), stream.lastArrival()) > SilenceLimit;
+        return now - std::max(*answerDueTimes.begin(), stream.lastArrival()) > MaxSilence;
     }
 
-    bool lost = false;
+    bool isLost = false;
     TimePoint lastUse;
-    /// From when on each call that has no answer yet could have had one.
-    std::multiset<TimePoint> openSince;
+    /// For each call without an answer, the time from which its answer can be expected.
+    std::multiset<TimePoint> answerDueTimes;
 };
 
-/// Counts a call as open on its connection for as long as it lives.
+/// Registers a call without an answer on its connection until the object is destroyed.
 class OpenCall
 {
 public:
-    /// @p wait: the peer may take so long without a reason of its own.
+    /// The peer may hold the request for @p wait before it answers; this time does not count as silence.
     explicit OpenCall(std::shared_ptr<PeerConnection> connection, Duration wait = Duration{0})
         : connection_(std::move(connection))
-        , place_(connection_->openSince.insert(std::chrono::steady_clock::now() + wait))
+        , position_(connection_->answerDueTimes.insert(std::chrono::steady_clock::now() + wait))
     {
     }
     ~OpenCall()
     {
-        connection_->openSince.erase(place_);
+        connection_->answerDueTimes.erase(position_);
         connection_->lastUse = std::chrono::steady_clock::now();
     }
     OpenCall(const OpenCall &) = delete;
@@ -150,11 +152,11 @@
 
 private:
     std::shared_ptr<PeerConnection> connection_;
-    std::multiset<TimePoint>::iterator place_;
+    std::multiset<TimePoint>::iterator position_;
 };
 
 template<typename Value>
-kj::Promise<Value> rejectAt(const asio::any_io_executor &executor, TimePoint deadline)
+kj::Promise<Value> rejectAtDeadline(const asio::any_io_executor &executor, TimePoint deadline)
 {
     auto pair = kj::newPromiseAndFulfiller<Value>();
     auto timer = kj::heap<asio::steady_timer>(executor, deadline);
@@ -165,16 +167,16 @@
 }
 
 template<typename Value>
-kj::Promise<Value> rejectOn(const std::shared_ptr<Cancellation> &cancellation)
+kj::Promise<Value> rejectOnCancellation(const std::shared_ptr<Cancellation> &cancellation)
 {
     auto pair = kj::newPromiseAndFulfiller<Value>();
-    // std::function wants a copyable action.
+    // Shared, since std::function requires a copyable action.
     auto fulfiller = std::make_shared<kj::Own<kj::PromiseFulfiller<Value>>>(kj::mv(pair.fulfiller));
     cancellation->setAction([fulfiller] { (*fulfiller)->reject(KJ_EXCEPTION(UNIMPLEMENTED, "cancelled")); });
     return kj::mv(pair.promise);
 }
 
-Failure failureOf(const kj::Exception &error, const std::shared_ptr<Cancellation> &cancellation, TimePoint deadline)
+Failure toFailure(const kj::Exception &error, const std::shared_ptr<Cancellation> &cancellation, TimePoint deadline)
 {
     if (cancellation && cancellation->isCancelled()) {
         return mayHaveRun(Reason::Cancelled, "cancelled");
@@ -185,29 +187,31 @@
     return mayHaveRun(Reason::ConnectionLost, error.getDescription().cStr());
 }
 
-/// Waits for @p promise until the deadline or the cancellation; dropping the loser tells the peer to cancel.
+/// Waits for @p promise until the deadline or the cancellation. If one of these comes first, @p promise is dropped,
+/// which tells the peer to cancel the call.
 template<typename Value>
-asio::awaitable<Result<Value>> await(kj::Promise<Value> promise, TimePoint deadline,
-                                     std::shared_ptr<Cancellation> cancellation)
+asio::awaitable<Result<Value>> awaitAnswer(kj::Promise<Value> promise, TimePoint deadline,
+                                           std::shared_ptr<Cancellation> cancellation)
 {
     const asio::any_io_executor executor = co_await asio::this_coro::executor;
-    promise = promise.exclusiveJoin(rejectAt<Value>(executor, deadline));
+    promise = promise.exclusiveJoin(rejectAtDeadline<Value>(executor, deadline));
     if (cancellation) {
-        promise = promise.exclusiveJoin(rejectOn<Value>(cancellation));
+        promise = promise.exclusiveJoin(rejectOnCancellation<Value>(cancellation));
     }
-    Settled<Value> settled = co_await settle(kj::mv(promise));
+    PromiseResult<Value> result = co_await awaitPromise(kj::mv(promise));
     if (cancellation) {
         cancellation->clearAction();
     }
-    if (settled.value) {
-        co_return std::move(*settled.value);
+    if (result.value) {
+        co_return std::move(*result.value);
     }
-    co_return failureOf(*settled.error, cancellation, deadline);
+    co_return toFailure(*result.error, cancellation, deadline);
 }
 
 bool maySend(CallHead &head, const PeerClient::SendPermit &permit, const Cancellation &cancellation)
 {
-    // Looked at after the wait for the connection: a caller who left meanwhile was told that nothing ran.
+    // Checked after the wait for the connection: if the call was cancelled meanwhile, its caller was told that nothing
+    // ran.
     return !cancellation.isCancelled() && permit(head);
 }
 
@@ -223,13 +227,13 @@
 
     [[nodiscard]] const asio::any_io_executor &executor() const { return executor_; }
 
-    void setPaidLinks(std::function<bool(const Endpoint &)> isPaid) { isPaidLink_ = std::move(isPaid); }
+    void setPaidLinks(std::function<bool(const Endpoint &)> isPaidLink) { isPaidLink_ = std::move(isPaidLink); }
 
-    asio::awaitable<Result<std::shared_ptr<PeerConnection>>> connection(Endpoint peer, TimePoint deadline,
-                                                                        Lane lane = Lane::Calls)
+    asio::awaitable<Result<std::shared_ptr<PeerConnection>>>
+    acquireConnection(Endpoint peer, TimePoint deadline, TrafficClass trafficClass = TrafficClass::Regular)
     {
-        const PeerAddress address{peer, lane};
-        if (auto open = findOpen(address)) {
+        const ConnectionKey key{peer, trafficClass};
+        if (auto open = findUsable(key)) {
             co_return open;
         }
         tcp::socket socket(executor_);
@@ -237,20 +241,20 @@
         if (failure.reason != Reason::None) {
             co_return failure;
         }
-        // Another call may have connected meanwhile; one connection is enough.
-        if (auto open = findOpen(address)) {
+        // Another call may have connected meanwhile; its connection is used then.
+        if (auto open = findUsable(key)) {
             co_return open;
         }
-        co_return adopt(address, std::move(socket));
+        co_return addConnection(key, std::move(socket));
     }
 
     void closeIdle(TimePoint now, Duration idle)
     {
         std::erase_if(connections_, [&](const auto &entry) {
             const PeerConnection &connection = *entry.second;
-            const bool unused = connection.openSince.empty() && now - connection.lastUse > idle;
-            if (unused || connection.lost) {
-                bytesOfClosed_ += connection.stream.bytesTransferred();
+            const bool isIdle = connection.answerDueTimes.empty() && now - connection.lastUse > idle;
+            if (isIdle || connection.isLost) {
+                closedConnectionBytes_ += connection.stream.bytesTransferred();
                 return true;
             }
             return false;
@@ -261,7 +265,7 @@
 
     [[nodiscard]] std::uint64_t bytesTransferred() const
     {
-        std::uint64_t sum = bytesOfClosed_;
+        std::uint64_t sum = closedConnectionBytes_;
         for (const auto &entry : connections_) {
             sum += entry.second->stream.bytesTransferred();
         }
@@ -269,12 +273,12 @@
     }
 
 private:
-    std::shared_ptr<PeerConnection> findOpen(const PeerAddress &address)
+    std::shared_ptr<PeerConnection> findUsable(const ConnectionKey &key)
     {
-        const auto found = connections_.find(address);
-        const bool usable = found != connections_.end() && !found->second->lost
+        const auto found = connections_.find(key);
+        const bool isUsable = found != connections_.end() && !found->second->isLost
             && !found->second->isSilent(std::chrono::steady_clock::now());
-        return usable ? found->second : nullptr;
+        return isUsable ? found->second : nullptr;
     }
 
     asio::awaitable<Failure> connect(tcp::socket &socket, const Endpoint &peer, TimePoint deadline)
@@ -283,72 +287,73 @@
         if (!address) {
             co_return notRun(Reason::ConnectFailed, "no address: " + peer.value());
         }
-        const TimePoint limit = std::min(deadline, std::chrono::steady_clock::now() + ConnectLimit);
-        // No plain timer: when the process stood still over the limit, the connection and the timer end in the same
-        // round of the loop, and a handler that is already queued can't be cancelled. It would close a socket that is
-        // gone.
+        const TimePoint connectDeadline = std::min(deadline, std::chrono::steady_clock::now() + ConnectTimeout);
+        // A plain timer is unsafe here: if the process stalls past the deadline, the connection attempt and the timer
+        // complete in the same round of the event loop. The handler of the timer is then already queued and can't be
+        // cancelled, and would close a socket that no longer exists.
         SocketTimer timer(executor_, [&socket] {
             boost::system::error_code ignored;
             socket.close(ignored);
         });
-        timer.expireAt(limit);
+        timer.expireAt(connectDeadline);
         boost::system::error_code error;
         co_await socket.async_connect(*address, asio::redirect_error(asio::use_awaitable, error));
-        const bool timedOut = std::chrono::steady_clock::now() >= limit;
-        if (error || timedOut) {
-            co_return notRun(Reason::ConnectFailed, timedOut ? "connecting took too long" : error.message());
+        const bool hasTimedOut = std::chrono::steady_clock::now() >= connectDeadline;
+        if (error || hasTimedOut) {
+            co_return notRun(Reason::ConnectFailed, hasTimedOut ? "connecting took too long" : error.message());
         }
         co_return Failure{};
     }
 
-    std::shared_ptr<PeerConnection> adopt(const PeerAddress &address, tcp::socket socket)
+    std::shared_ptr<PeerConnection> addConnection(const ConnectionKey &key, tcp::socket socket)
     {
-        const bool paid = isPaidLink_ && isPaidLink_(address.peer);
+        const bool isPaidLink = isPaidLink_ && isPaidLink_(key.peer);
         auto connection =
-            std::make_shared<PeerConnection>(std::move(socket), paid ? PeerCoding::Deflate : PeerCoding::Plain);
+            std::make_shared<PeerConnection>(std::move(socket), isPaidLink ? PeerCoding::Deflate : PeerCoding::Plain);
         connection->lastUse = std::chrono::steady_clock::now();
         const auto markLost = [weak = std::weak_ptr<PeerConnection>(connection)] {
-            if (const auto lost = weak.lock()) {
-                lost->lost = true;
+            if (const auto locked = weak.lock()) {
+                locked->isLost = true;
             }
         };
         connection->disconnected = connection->network.onDisconnect()
                                        .then([markLost] { markLost(); }, [markLost](kj::Exception &&) { markLost(); })
                                        .eagerlyEvaluate(nullptr);
-        if (const auto old = connections_.find(address); old != connections_.end()) {
-            bytesOfClosed_ += old->second->stream.bytesTransferred();
+        if (const auto old = connections_.find(key); old != connections_.end()) {
+            closedConnectionBytes_ += old->second->stream.bytesTransferred();
         }
-        connections_.insert_or_assign(address, connection);
+        connections_.insert_or_assign(key, connection);
         return connection;
     }
 
     asio::any_io_executor executor_;
     std::function<bool(const Endpoint &)> isPaidLink_;
-    std::map<PeerAddress, std::shared_ptr<PeerConnection>> connections_;
-    std::uint64_t bytesOfClosed_ = 0;
+    std::map<ConnectionKey, std::shared_ptr<PeerConnection>> connections_;
+    std::uint64_t closedConnectionBytes_ = 0;
 };
 
 namespace
 {
 
-/// One request for control, with what @p send makes of the peer's capability; the peer may take @p wait before it
-/// answers. Precondition: what @p send refers to lives until the answer.
+/// Sends one control request, which @p send creates from the peer's capability, and waits for the answer. The peer may
+/// hold the request for @p wait before it answers. Precondition: objects that @p send refers to live until the
+/// answer.
 template<typename Value, typename Implementation, typename Send>
-asio::awaitable<Result<Value>> ask(std::shared_ptr<Implementation> implementation, Endpoint peer, TimePoint deadline,
-                                   Duration wait, const Send &send)
+asio::awaitable<Result<Value>> sendControlRequest(std::shared_ptr<Implementation> implementation, Endpoint peer,
+                                                  TimePoint deadline, Duration wait, const Send &send)
 {
-    auto connection = co_await implementation->connection(peer, deadline);
+    auto connection = co_await implementation->acquireConnection(peer, deadline);
     if (!connection) {
         co_return connection.error();
     }
     const OpenCall open(connection.value(), wait);
     const PeerStream &stream = connection.value()->stream;
-    const std::uint64_t before = stream.bytesTransferred();
-    Result<Value> answer = co_await await(send(connection.value()->node), deadline, nullptr);
+    const std::uint64_t bytesBefore = stream.bytesTransferred();
+    Result<Value> answer = co_await awaitAnswer(send(connection.value()->node), deadline, nullptr);
     if (!answer) {
-        // Tells a peer that is silent from an answer that is too large for the link.
+        // The byte count tells a silent peer from an answer that is too large for the link.
         Failure failure = answer.error();
-        failure.detail += ", " + std::to_string(stream.bytesTransferred() - before) + " bytes passed meanwhile";
+        failure.detail += ", " + std::to_string(stream.bytesTransferred() - bytesBefore) + " bytes passed meanwhile";
         co_return failure;
     }
     co_return answer;
@@ -368,8 +373,8 @@
                                                       TimePoint deadline, std::shared_ptr<Cancellation> cancellation)
 {
     const auto implementation = implementation_;
-    const Lane lane = body.size() > BulkBytes ? Lane::Bulk : Lane::Calls;
-    auto connection = co_await implementation->connection(peer, deadline, lane);
+    const TrafficClass trafficClass = body.size() > MaxRegularBodyBytes ? TrafficClass::Bulk : TrafficClass::Regular;
+    auto connection = co_await implementation->acquireConnection(peer, deadline, trafficClass);
     if (!connection) {
         co_return connection.error();
     }
@@ -382,7 +387,7 @@
     request.setBody(WireConversion::asData(body));
     request.setAnswer(kj::heap<AnswerSinkServer>(implementation->executor(), std::move(answer)));
     auto promise = request.send().then([](auto &&response) { return WireConversion::read(response.getOutcome()); });
-    co_return co_await await(kj::mv(promise), deadline, std::move(cancellation));
+    co_return co_await awaitAnswer(kj::mv(promise), deadline, std::move(cancellation));
 }
 
 asio::awaitable<Result<Catalog>> PeerClient::catalog(Endpoint peer, CatalogRequest request, TimePoint deadline)
@@ -395,7 +400,7 @@
         message.setKnown(static_cast<std::uint8_t>(request.known));
         return message.send().then([](auto &&response) { return WireConversion::read(response.getCatalog()); });
     };
-    co_return co_await ask<Catalog>(implementation_, std::move(peer), deadline, request.wait, send);
+    co_return co_await sendControlRequest<Catalog>(implementation_, std::move(peer), deadline, request.wait, send);
 }
 
 asio::awaitable<Result<QuarantineUpdate>> PeerClient::quarantine(Endpoint peer, QuarantineUpdate update,
@@ -406,7 +411,8 @@
         WireConversion::write(message.initNews(), update);
         return message.send().then([](auto &&response) { return WireConversion::read(response.getNews()); });
     };
-    co_return co_await ask<QuarantineUpdate>(implementation_, std::move(peer), deadline, Duration{0}, send);
+    co_return co_await sendControlRequest<QuarantineUpdate>(implementation_, std::move(peer), deadline, Duration{0},
+                                                            send);
 }
 
 asio::awaitable<Result<PeerProbe>> PeerClient::probe(Endpoint peer, TimePoint deadline)
@@ -416,12 +422,12 @@
             return PeerProbe{WireConversion::read(response.getIdentity()), WireConversion::read(response.getReport())};
         });
     };
-    co_return co_await ask<PeerProbe>(implementation_, std::move(peer), deadline, Duration{0}, send);
+    co_return co_await sendControlRequest<PeerProbe>(implementation_, std::move(peer), deadline, Duration{0}, send);
 }
 
-void PeerClient::setPaidLinks(std::function<bool(const Endpoint &)> isPaid)
+void PeerClient::setPaidLinks(std::function<bool(const Endpoint &)> isPaidLink)
 {
-    implementation_->setPaidLinks(std::move(isPaid));
+    implementation_->setPaidLinks(std::move(isPaidLink));
 }
 
 void PeerClient::closeIdle(TimePoint now, Duration idle)
--- a/src/rpc/peerclient.h
+++ b/src/rpc/peerclient.h
@@ -17,16 +17,16 @@
 namespace Egretpath
 {
 
-/// Calls other nodes over Cap'n Proto RPC, with one connection for each of them.
+/// Calls other nodes over Cap'n Proto RPC. Each node has one connection, and a second one for large bodies if needed.
 ///
-/// Answers are matched to their calls by Cap'n Proto's question numbers, in whichever order they arrive.
+/// Cap'n Proto matches answers to their calls by question id, so answers may arrive in any order.
 /// Preconditions: an AsioEventPort lives on this thread; each call has a Cancellation of its own. Thread safety: none.
 ///
-/// Errors of all calls, honest about what is known:
+/// Errors of all calls, by what is known of the call:
 /// - NotRun/ConnectFailed: there was no connection, so nothing was sent.
-/// - NotRun/Cancelled: the permit was refused or the call cancelled before it was sent.
+/// - NotRun/Cancelled: the permit was refused, or the call was cancelled before it was sent.
 /// - MayHaveRun/ConnectionLost: the connection broke after the call was queued to it.
-/// - MayHaveRun/DeadlinePassed, MayHaveRun/Cancelled: nothing was heard by then; the peer is told to cancel.
+/// - MayHaveRun/DeadlinePassed, MayHaveRun/Cancelled: no answer came before that; the peer is told to cancel the call.
 class PeerClient
 {
 public:
@@ -35,8 +35,8 @@
     PeerClient(const PeerClient &) = delete;
     PeerClient &operator=(const PeerClient &) = delete;
 
-    /// Asked last before a call is queued to its connection, with nothing awaited in between; stamps the head with the
-    /// time. False: the call ended meanwhile, nothing may be sent.
+    /// Called immediately before a call is queued to its connection, with no suspension in between. Sets the times in
+    /// the head. Returns false if the call has ended meanwhile and must not be sent.
     using SendPermit = std::function<bool(CallHead &)>;
 
     boost::asio::awaitable<Result<CallOutcome>> call(Endpoint peer, CallHead head, std::string body,
@@ -47,10 +47,10 @@
                                                                 TimePoint deadline);
     boost::asio::awaitable<Result<PeerProbe>> probe(Endpoint peer, TimePoint deadline);
 
-    /// New connections to peers for which @p isPaid returns true are compressed: what crosses to them is paid for by
-    /// volume.
-    void setPaidLinks(std::function<bool(const Endpoint &)> isPaid);
-    /// Closes connections that no call has used for @p idle.
+    /// New connections to peers for which @p isPaidLink returns true are compressed, since the link to them is paid for
+    /// by volume.
+    void setPaidLinks(std::function<bool(const Endpoint &)> isPaidLink);
+    /// Closes connections that no call has used for @p idle, and lost ones.
     void closeIdle(TimePoint now, Duration idle);
     [[nodiscard]] std::size_t connectionCount() const;
     /// Bytes read and written on all connections since the start.
--- a/src/rpc/peermessages.h
+++ b/src/rpc/peermessages.h
@@ -19,8 +19,10 @@
 namespace Egretpath
 {
 
-/// Which routes and which list a node has. Every answer carries one, so that a node whose own source fell silent
-/// learns from any other that it missed a change.
+/// The versions of the routes and of the instance list that a node has.
+///
+/// Every answer carries the versions of its sender, so that a node whose own source stopped sending updates learns from
+/// any other node that it missed a change.
 struct CatalogVersions
 {
     RouteVersion routes;
@@ -31,7 +33,7 @@
 struct CallHead
 {
     RequestId requestId;
-    /// Counts the tries of this request, from 1.
+    /// The number of this try of the request, counted from 1.
     std::uint32_t attempt = 1;
     NodeIdentity ingress;
     ServiceName service;
@@ -40,26 +42,27 @@
     HttpHeaders headers;
     /// Time left until the deadline when the call was sent.
     Microseconds remaining{0};
-    /// Boot clock of the ingress when the call was sent; only its differences mean anything elsewhere.
+    /// Boot clock of the ingress when the call was sent. Other nodes can only use differences between such times.
     Microseconds sentAt{0};
-    /// Whether the call may run more than once.
+    /// Whether running the call more than once is safe.
     bool repeatable = false;
     /// The upstream that must run the call; empty allows any.
     UpstreamName targetUpstream;
-    /// The service beside whose VM the request began.
+    /// The service on the VM where the request began.
     ServiceName callerService;
     RouteName route;
     /// 0 is the most urgent.
     std::uint8_t priority = 0;
-    /// Time left, when the call was sent, until an answer loses most of its worth; may be negative.
+    /// Time left of the latency target when the call was sent. An answer after the target has lost most of its value;
+    /// negative if the target has passed.
     Microseconds targetLatencyLeft{0};
-    /// The egress declines a call that it expects to take longer; zero: it takes what can meet its deadline.
+    /// The egress declines a call that it expects to take longer. Zero: it takes every call that can meet its deadline.
     Microseconds declineThreshold{0};
-    /// The body is not here, and nothing is to be run: would the egress take the call now? Its outcome is a failure in
-    /// any case, with the reason None if it would.
+    /// Asks whether the egress would take the call now. The message has no body, and nothing is run. The outcome is
+    /// always a failure, with the reason None if the egress would take the call.
     bool dryRun = false;
-    /// The upstream that last broke off while it ran the call, in an earlier try; empty: none did. This call may have
-    /// ended it, or one beside it.
+    /// The upstream that last disconnected while it ran this call in an earlier try; empty if none did. This call, or
+    /// another one that ran beside it, may have crashed the upstream.
     UpstreamName disconnectedUpstream;
 };
 
@@ -70,14 +73,14 @@
     HttpHeaders headers;
 };
 
-/// A whole answer that travelled in one message.
+/// A whole answer that was sent in one message.
 struct CompleteAnswer
 {
     AnswerHead head;
     std::string body;
 };
 
-/// The whole answer went to the AnswerReceiver.
+/// Says that the whole answer was sent to the AnswerReceiver.
 struct StreamedAnswer
 {
 };
@@ -89,50 +92,52 @@
     std::optional<LoadReport> report;
     std::variant<Failure, CompleteAnswer, StreamedAnswer> result;
     CatalogVersions catalog;
-    /// Which requests the node refuses, since they end upstreams.
+    /// The set of requests that the node refuses because they crash upstreams.
     QuarantineDigest quarantine;
 };
 
-/// What the asker has of the platform.
+/// Asks another node for the routes and instances that the requesting node lacks.
 struct CatalogRequest
 {
+    /// What the requesting node has; zero for what it lacks.
     CatalogVersions have;
-    /// The answer may take so long when there is nothing newer.
+    /// How long the other node may hold the request while it has nothing newer.
     Milliseconds wait{0};
-    /// What the asker takes the other node's store to be; another state is news.
+    /// The store state of the other node as the requesting node knows it. A different state counts as something newer.
     StoreState known = StoreState::Available;
 };
 
-/// What another node has that the asker lacks.
+/// The routes and instances that the requesting node lacks, as the other node sends them.
 struct Catalog
 {
-    /// What the sender has; zero for what it lacks itself.
+    /// What the sender has; zero for what it lacks.
     CatalogVersions has;
-    /// As the platform published them; empty if the asker has them.
+    /// As the platform published them; empty if the requesting node has them.
     PackedRoutes routes;
-    /// The changes make up the whole list; else they are those after the asker's revision.
+    /// Whether the changes are the whole list. Otherwise they are the changes after the requesting node's revision.
     bool whole = false;
     std::vector<InstanceChange> changes;
-    /// Where this comes from.
+    /// The state of the platform's store as the sender knows it.
     StoreState store = StoreState::Unavailable;
-    /// Nodes between the sender and the store: 0 for one that reads it.
+    /// Number of nodes between the sender and the store: 0 for a sender that reads the store itself.
     std::uint8_t hops = 0;
     /// The node that reads the store for the sender; empty if none does.
     Endpoint reader;
-    /// Since that node last did.
+    /// Time since that node last read the store.
     Milliseconds storeAge{0};
-    /// For how long that node has read the store without a loss.
+    /// How long that node has been able to read the store without interruption.
     Milliseconds storeAvailableFor{0};
-    /// Since a node read the sender's routes, and the newest change of its list, from the store.
+    /// Time since a node read the sender's routes from the store.
     Milliseconds routesAge{0};
+    /// Time since a node read the newest change of the sender's list from the store.
     Milliseconds listAge{0};
-    /// Which requests the sender refuses, since they end upstreams.
+    /// The set of requests that the sender refuses because they crash upstreams.
     QuarantineDigest quarantine;
-    /// For so long the sender kept the question, since it had nothing newer.
+    /// How long the sender held the request because it had nothing newer.
     Milliseconds held{0};
 };
 
-/// What a probe brings.
+/// The answer to a probe.
 struct PeerProbe
 {
     NodeIdentity identity;
--- a/src/rpc/peerserver.cpp
+++ b/src/rpc/peerserver.cpp
@@ -24,8 +24,9 @@
 namespace
 {
 
-/// An asker may wait so long for something newer; more would only keep the calls of those that are gone.
-constexpr Milliseconds LongestCatalogWait{5000};
+/// How long a catalog request may be held until there is something newer. A longer wait would only keep the requests of
+/// nodes that have gone.
+constexpr Milliseconds MaxCatalogWait{5000};
 
 /// Sends the pieces of a large answer back to the ingress.
 class WireAnswerReceiver final : public AnswerReceiver
@@ -43,29 +44,29 @@
     {
         auto request = sink_.beginRequest();
         WireConversion::write(request.initHead(), head);
-        const auto settled = co_await settle(request.send().ignoreResult().then([] { return true; }));
-        co_return settled.value.has_value();
+        const auto result = co_await awaitPromise(request.send().ignoreResult().then([] { return true; }));
+        co_return result.value.has_value();
     }
 
     asio::awaitable<bool> write(std::string chunk) override
     {
         auto request = sink_.writeRequest();
         request.setChunk(WireConversion::asData(chunk));
-        const auto settled = co_await settle(request.send().then([] { return true; }));
-        co_return settled.value.has_value();
+        const auto result = co_await awaitPromise(request.send().then([] { return true; }));
+        co_return result.value.has_value();
     }
 
     asio::awaitable<bool> end() override
     {
-        const auto settled = co_await settle(sink_.endRequest().send().ignoreResult().then([] { return true; }));
-        co_return settled.value.has_value();
+        const auto result = co_await awaitPromise(sink_.endRequest().send().ignoreResult().then([] { return true; }));
+        co_return result.value.has_value();
     }
 
 private:
     Wire::AnswerSink::Client sink_;
 };
 
-/// Cancels when the call's promise is dropped: the ingress has sent a Finish message or its connection is gone.
+/// Cancels the call when its promise is dropped, because the ingress sent a Finish message or its connection is lost.
 class CancelOnDrop
 {
 public:
@@ -88,7 +89,7 @@
     std::shared_ptr<Cancellation> cancellation_;
 };
 
-/// The bootstrap capability of a connection.
+/// The bootstrap capability of a connection: passes the calls of other nodes to a PeerService.
 class NodeServer final : public Wire::Node::Server
 {
 public:
@@ -126,9 +127,9 @@
         const auto params = context.getParams();
         CatalogRequest request;
         request.have = {RouteVersion(params.getHaveRoutes()), StoreRevision(params.getHaveRevision())};
-        request.wait = std::min(Milliseconds(params.getWait()), LongestCatalogWait);
-        const bool isKnown = params.getKnown() != static_cast<std::uint8_t>(StoreState::Available);
-        request.known = isKnown ? WireConversion::readStoreState(params.getKnown()) : StoreState::Available;
+        request.wait = std::min(Milliseconds(params.getWait()), MaxCatalogWait);
+        const bool isNotAvailable = params.getKnown() != static_cast<std::uint8_t>(StoreState::Available);
+        request.known = isNotAvailable ? WireConversion::readStoreState(params.getKnown()) : StoreState::Available;
         return toPromise(executor_, service_.catalog(request)).then([context](Catalog catalog) mutable {
             WireConversion::write(context.getResults().initCatalog(), catalog);
         });
@@ -146,7 +147,7 @@
     PeerService &service_;
 };
 
-/// One accepted connection with its RPC state.
+/// An accepted connection with its RPC state.
 struct ServedConnection
 {
     ServedConnection(tcp::socket socket, const asio::any_io_executor &executor, PeerService &service)
@@ -167,24 +168,24 @@
 class PeerServer::Implementation : public std::enable_shared_from_this<PeerServer::Implementation>
 {
 public:
-    Implementation(asio::io_context &context, PeerService &service, std::size_t connectionCap)
+    Implementation(asio::io_context &context, PeerService &service, std::size_t maxConnections)
         : context_(context)
         , executor_(context.get_executor())
         , service_(service)
-        , connectionCap_(connectionCap)
+        , maxConnections_(maxConnections)
     {
     }
 
     void listen(const Endpoint &endpoint)
     {
-        const std::optional<tcp::endpoint> parsed = toTcpEndpoint(endpoint);
-        if (!parsed) {
+        const std::optional<tcp::endpoint> address = toTcpEndpoint(endpoint);
+        if (!address) {
             throw boost::system::system_error(asio::error::invalid_argument, endpoint.value());
         }
         tcp::acceptor &acceptor = acceptors_.emplace_back(context_);
-        acceptor.open(parsed->protocol());
+        acceptor.open(address->protocol());
         acceptor.set_option(tcp::acceptor::reuse_address(true));
-        acceptor.bind(*parsed);
+        acceptor.bind(*address);
         acceptor.listen();
         accept(acceptor);
     }
@@ -200,7 +201,7 @@
     void close()
     {
         stopAccepting();
-        closed_ = true;
+        isClosed_ = true;
         connections_.clear();
     }
 
@@ -214,7 +215,7 @@
                 if (error == asio::error::operation_aborted || !acceptor.is_open()) {
                     return;
                 }
-                if (!error && self->connections_.size() < self->connectionCap_) {
+                if (!error && self->connections_.size() < self->maxConnections_) {
                     self->serve(std::move(socket));
                 }
                 self->accept(acceptor);
@@ -233,27 +234,27 @@
 
     void remove(std::list<ServedConnection>::iterator position)
     {
-        // Not destroyed here, inside a continuation of its own promise.
+        // Posted, since a connection must not be destroyed inside a continuation of its own promise.
         asio::post(executor_, [self = weak_from_this(), position] {
             const auto server = self.lock();
-            if (server && !server->closed_) {
+            if (server && !server->isClosed_) {
                 server->connections_.erase(position);
             }
         });
     }
 
     asio::io_context &context_;
-    /// A list, since accept() keeps references.
+    /// A list, since accept() keeps references to the elements.
     std::list<tcp::acceptor> acceptors_;
     asio::any_io_executor executor_;
     PeerService &service_;
-    std::size_t connectionCap_;
+    std::size_t maxConnections_;
     std::list<ServedConnection> connections_;
-    bool closed_ = false;
+    bool isClosed_ = false;
 };
 
-PeerServer::PeerServer(asio::io_context &context, PeerService &service, std::size_t connectionCap)
-    : implementation_(std::make_shared<Implementation>(context, service, connectionCap))
+PeerServer::PeerServer(asio::io_context &context, PeerService &service, std::size_t maxConnections)
+    : implementation_(std::make_shared<Implementation>(context, service, maxConnections))
 {
 }
 
--- a/src/rpc/peerserver.h
+++ b/src/rpc/peerserver.h
@@ -11,21 +11,21 @@
 namespace Egretpath
 {
 
-/// Accepts connections of other nodes and serves them with a PeerService over Cap'n Proto RPC.
+/// Accepts connections from other nodes and passes their Cap'n Proto RPC calls to a PeerService.
 ///
 /// Preconditions: an AsioEventPort lives on this thread; @p service outlives the server. Thread safety: none.
 class PeerServer
 {
 public:
-    /// At most @p connectionCap connections are open at once; further ones are closed at once.
-    PeerServer(boost::asio::io_context &context, PeerService &service, std::size_t connectionCap);
+    /// Keeps at most @p maxConnections connections open and closes further ones as soon as they are accepted.
+    PeerServer(boost::asio::io_context &context, PeerService &service, std::size_t maxConnections);
     ~PeerServer();
     PeerServer(const PeerServer &) = delete;
     PeerServer &operator=(const PeerServer &) = delete;
 
-    /// Starts to accept. Errors: boost::system::system_error if the address can't be bound.
+    /// Starts to accept connections on @p endpoint. Errors: boost::system::system_error if the address can't be bound.
     void listen(const Endpoint &endpoint);
-    /// Closes the listening socket; connections stay.
+    /// Closes the listening sockets; open connections stay.
     void stopAccepting();
     [[nodiscard]] std::size_t connectionCount() const;
 
--- a/src/rpc/peerservice.h
+++ b/src/rpc/peerservice.h
@@ -11,22 +11,23 @@
 namespace Egretpath
 {
 
-/// Takes an answer that is too large for one message, in pieces.
+/// Receives an answer that is too large for one message, in pieces.
 ///
-/// Thread safety: none. A false result means that the receiver is gone and the sender should stop.
+/// Thread safety: none. A false result means that the receiver takes no more, and the sender should stop.
 class AnswerReceiver
 {
 public:
     virtual ~AnswerReceiver() = default;
-    /// Precondition: called once, first.
+    /// Receives the head. Precondition: called once, before the other functions.
     virtual boost::asio::awaitable<bool> begin(AnswerHead head) = 0;
-    /// Precondition: begin() returned true. Returns when the receiver can take more.
+    /// Receives the next piece of the body. Returns when the receiver can take more. Precondition: begin() returned
+    /// true.
     virtual boost::asio::awaitable<bool> write(std::string chunk) = 0;
-    /// Called only when the whole answer was written.
+    /// Called only after the whole answer was written.
     virtual boost::asio::awaitable<bool> end() = 0;
 };
 
-/// The calls that a node takes from other nodes. The RPC library turns messages into these calls.
+/// The calls that a node takes from other nodes. PeerServer turns messages into these calls.
 ///
 /// Thread safety: none; called on the thread of the event loop. Errors: in the outcomes.
 class PeerService
@@ -37,9 +38,10 @@
                                                      std::shared_ptr<AnswerReceiver> answer,
                                                      std::shared_ptr<Cancellation> cancellation) = 0;
     virtual PeerProbe probe() = 0;
-    /// What this node has of the platform and the asker lacks; see CatalogRequest::wait.
+    /// Returns the routes and instances that the requesting node lacks. The answer may wait up to CatalogRequest::wait
+    /// for something newer.
     virtual boost::asio::awaitable<Catalog> catalog(CatalogRequest request) = 0;
-    /// Takes what another node knows of requests that end upstreams; returns what this one knows more.
+    /// Takes what another node knows of requests that crash upstreams; returns what this node knows beyond that.
     virtual QuarantineUpdate quarantine(const QuarantineUpdate &update) = 0;
 };
 
--- a/src/rpc/peerstream.cpp
+++ b/src/rpc/peerstream.cpp
@@ -13,21 +13,22 @@
 namespace
 {
 
-/// Heads repeat those of the message before, which an answer of some KiB lies between.
+/// The window reaches back across an answer of some KiB to the head of the previous message, since heads mostly repeat
+/// the previous one.
 constexpr int WindowBits = 13;
-/// A hash table of 16 KiB: there is a stream for each node of another region that is called.
+/// Limits the hash table to 16 KiB, since there is a stream for each node of another region that is called.
 constexpr int MemoryLevel = 5;
-constexpr std::size_t InputBytes = std::size_t{4} * 1024;
-constexpr std::size_t OutputStep = std::size_t{4} * 1024;
+constexpr std::size_t InputBufferBytes = std::size_t{4} * 1024;
+constexpr std::size_t OutputChunkBytes = std::size_t{4} * 1024;
 
-kj::Exception unreadable(const char *what)
+kj::Exception decodingError(const char *problem)
 {
-    return KJ_EXCEPTION(DISCONNECTED, "connection to a peer", what);
+    return KJ_EXCEPTION(DISCONNECTED, "connection to a peer", problem);
 }
 
 }
 
-/// One direction of a stream, from messages to bytes of the wire.
+/// Encodes messages into bytes on the wire, for one direction of a stream.
 class PeerStream::Deflater
 {
 public:
@@ -41,18 +42,18 @@
     Deflater(const Deflater &) = delete;
     Deflater &operator=(const Deflater &) = delete;
 
-    /// Appends the coded @p plain to @p wire; @p flush makes all of it readable for the other side.
-    void append(kj::ArrayPtr<const kj::byte> plain, bool flush, std::vector<kj::byte> &wire)
+    /// Encodes @p plain and appends it to @p wire. With @p shouldFlush the other side can decode all of it at once.
+    void append(kj::ArrayPtr<const kj::byte> plain, bool shouldFlush, std::vector<kj::byte> &wire)
     {
-        // zlib declares its input as mutable, and does not change it.
+        // zlib declares its input as mutable but does not change it.
         state_.next_in = const_cast<Bytef *>(plain.begin());
         state_.avail_in = static_cast<uInt>(plain.size());
         do {
-            const std::size_t before = wire.size();
-            wire.resize(before + OutputStep);
-            state_.next_out = wire.data() + before;
-            state_.avail_out = static_cast<uInt>(OutputStep);
-            deflate(&state_, flush ? Z_SYNC_FLUSH : Z_NO_FLUSH);
+            const std::size_t oldSize = wire.size();
+            wire.resize(oldSize + OutputChunkBytes);
+            state_.next_out = wire.data() + oldSize;
+            state_.avail_out = static_cast<uInt>(OutputChunkBytes);
+            deflate(&state_, shouldFlush ? Z_SYNC_FLUSH : Z_NO_FLUSH);
             wire.resize(wire.size() - state_.avail_out);
         } while (state_.avail_out == 0);
     }
@@ -61,7 +62,7 @@
     z_stream state_{};
 };
 
-/// The other direction, from bytes of the wire to messages.
+/// Decodes bytes from the wire into messages, for the other direction.
 class PeerStream::Inflater
 {
 public:
@@ -75,34 +76,38 @@
     Inflater(const Inflater &) = delete;
     Inflater &operator=(const Inflater &) = delete;
 
-    /// Where the next bytes of the wire go once all earlier ones are decoded.
-    [[nodiscard]] kj::ArrayPtr<kj::byte> input() { return kj::arrayPtr(input_.data(), input_.size()); }
+    /// The buffer for the next bytes from the wire. Precondition: all earlier bytes are decoded.
+    [[nodiscard]] kj::ArrayPtr<kj::byte> inputBuffer()
+    {
+        return kj::arrayPtr(inputBuffer_.data(), inputBuffer_.size());
+    }
     void setInputSize(std::size_t size)
     {
-        state_.next_in = input_.data();
+        state_.next_in = inputBuffer_.data();
         state_.avail_in = static_cast<uInt>(size);
     }
 
-    /// Decodes into @p plain and returns how much came. Errors: kj::Exception for bytes that are no deflate stream.
-    std::size_t take(kj::ArrayPtr<kj::byte> plain)
+    /// Decodes into @p plain and returns the number of bytes decoded. Errors: kj::Exception for bytes that are no
+    /// deflate stream.
+    std::size_t decode(kj::ArrayPtr<kj::byte> plain)
     {
         state_.next_out = plain.begin();
         state_.avail_out = static_cast<uInt>(plain.size());
         const int status = inflate(&state_, Z_SYNC_FLUSH);
         if (status != Z_OK && status != Z_BUF_ERROR) {
-            kj::throwFatalException(unreadable("bytes that are no deflate stream"));
+            kj::throwFatalException(decodingError("bytes that are no deflate stream"));
         }
         return plain.size() - state_.avail_out;
     }
 
 private:
-    std::array<kj::byte, InputBytes> input_{};
+    std::array<kj::byte, InputBufferBytes> inputBuffer_{};
     z_stream state_{};
 };
 
 PeerStream::PeerStream(boost::asio::ip::tcp::socket socket, PeerCoding coding)
     : socket_(std::move(socket))
-    , announces_(true)
+    , shouldSendCoding_(true)
 {
     setCoding(coding);
 }
@@ -126,40 +131,41 @@
 kj::Promise<size_t> PeerStream::tryRead(void *buffer, size_t minBytes, size_t maxBytes)
 {
     if (!coding_) {
-        auto first = kj::heap<kj::byte>();
-        kj::byte *place = first.get();
-        return socket_.tryRead(place, 1, 1)
-            .then([this, buffer, minBytes, maxBytes, first = kj::mv(first)](size_t count) -> kj::Promise<size_t> {
+        auto codingByte = kj::heap<kj::byte>();
+        kj::byte *destination = codingByte.get();
+        return socket_.tryRead(destination, 1, 1)
+            .then([this, buffer, minBytes, maxBytes,
+                   codingByte = kj::mv(codingByte)](size_t count) -> kj::Promise<size_t> {
                 if (count == 0) {
                     return size_t{0};
                 }
-                if (*first > static_cast<kj::byte>(PeerCoding::Deflate)) {
-                    return unreadable("an unknown coding");
+                if (*codingByte > static_cast<kj::byte>(PeerCoding::Deflate)) {
+                    return decodingError("an unknown coding");
                 }
-                setCoding(static_cast<PeerCoding>(*first));
+                setCoding(static_cast<PeerCoding>(*codingByte));
                 return tryRead(buffer, minBytes, maxBytes);
             });
     }
     if (!inflater_) {
         return socket_.tryRead(buffer, minBytes, maxBytes);
     }
-    return inflateMore(static_cast<kj::byte *>(buffer), minBytes, maxBytes, 0);
+    return readInflated(static_cast<kj::byte *>(buffer), minBytes, maxBytes, 0);
 }
 
-kj::Promise<size_t> PeerStream::inflateMore(kj::byte *buffer, size_t minBytes, size_t maxBytes, size_t alreadyRead)
+kj::Promise<size_t> PeerStream::readInflated(kj::byte *buffer, size_t minBytes, size_t maxBytes, size_t alreadyRead)
 {
-    alreadyRead += inflater_->take(kj::arrayPtr(buffer + alreadyRead, maxBytes - alreadyRead));
+    alreadyRead += inflater_->decode(kj::arrayPtr(buffer + alreadyRead, maxBytes - alreadyRead));
     if (alreadyRead >= minBytes) {
         return alreadyRead;
     }
-    auto input = inflater_->input();
-    return socket_.tryRead(input.begin(), 1, input.size())
+    auto inputBuffer = inflater_->inputBuffer();
+    return socket_.tryRead(inputBuffer.begin(), 1, inputBuffer.size())
         .then([this, buffer, minBytes, maxBytes, alreadyRead](size_t count) -> kj::Promise<size_t> {
             if (count == 0) {
                 return alreadyRead;
             }
             inflater_->setInputSize(count);
-            return inflateMore(buffer, minBytes, maxBytes, alreadyRead);
+            return readInflated(buffer, minBytes, maxBytes, alreadyRead);
         });
 }
 
@@ -171,24 +177,24 @@
 
 kj::Promise<void> PeerStream::write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces)
 {
-    if (!deflater_ && !announces_) {
+    if (!deflater_ && !shouldSendCoding_) {
         return socket_.write(pieces);
     }
     std::vector<kj::byte> wire;
-    if (std::exchange(announces_, false)) {
+    if (std::exchange(shouldSendCoding_, false)) {
         wire.push_back(static_cast<kj::byte>(coding_.value_or(PeerCoding::Plain)));
     }
     for (const auto &piece : pieces) {
-        const bool last = &piece == pieces.end() - 1;
+        const bool isLast = &piece == pieces.end() - 1;
         if (deflater_) {
-            deflater_->append(piece, last, wire);
+            deflater_->append(piece, isLast, wire);
         } else {
             wire.insert(wire.end(), piece.begin(), piece.end());
         }
     }
-    auto kept = kj::heap<std::vector<kj::byte>>(std::move(wire));
-    auto written = socket_.write(kept->data(), kept->size());
-    return written.attach(kj::mv(kept));
+    auto ownedWire = kj::heap<std::vector<kj::byte>>(std::move(wire));
+    auto written = socket_.write(ownedWire->data(), ownedWire->size());
+    return written.attach(kj::mv(ownedWire));
 }
 
 }
--- a/src/rpc/peerstream.h
+++ b/src/rpc/peerstream.h
@@ -12,26 +12,26 @@
 namespace Egretpath
 {
 
-/// How the bytes between two nodes are written.
+/// How the bytes between two nodes are encoded.
 enum class PeerCoding : std::uint8_t {
     Plain = 0,
-    /// Both directions as raw deflate streams (RFC 1951), flushed after each message. Heads of calls and answers repeat
-    /// themselves, so that little of them is left on links that are paid for by volume.
+    /// Both directions are raw deflate streams (RFC 1951), flushed after each message. For links that are paid for by
+    /// volume: successive heads of calls and answers are nearly equal, so they compress well.
     Deflate = 1,
 };
 
 /// The byte stream of Cap'n Proto RPC between two nodes, in the coding that the connecting node chose.
 ///
-/// The first byte that the connecting node sends is its PeerCoding; the accepting node, which only answers, takes it
-/// from there. Preconditions: an AsioEventPort lives on this thread; a write begins after the one before has ended.
-/// Thread safety: none. Errors: kj::Exception of type DISCONNECTED through the promises, also for bytes that are in no
-/// known coding.
+/// The first byte that the connecting node sends is its PeerCoding. The accepting node reads it before it writes, since
+/// it only answers. Preconditions: an AsioEventPort lives on this thread; a write begins after the previous one has
+/// ended. Thread safety: none. Errors: kj::Exception of type DISCONNECTED through the promises, also for an unknown
+/// coding and for bytes that can't be decoded.
 class PeerStream final : public kj::AsyncIoStream
 {
 public:
-    /// The connecting side. Errors: as AsioStream; std::bad_alloc.
+    /// Creates the connecting side, which chooses @p coding. Errors: those of AsioStream's constructor; std::bad_alloc.
     PeerStream(boost::asio::ip::tcp::socket socket, PeerCoding coding);
-    /// The accepting side.
+    /// Creates the accepting side. Errors: those of AsioStream's constructor.
     explicit PeerStream(boost::asio::ip::tcp::socket socket);
     ~PeerStream() noexcept(false);
 
@@ -42,7 +42,7 @@
     void shutdownWrite() override { socket_.shutdownWrite(); }
     void abortRead() override { socket_.abortRead(); }
 
-    /// The bytes on the wire; see AsioStream.
+    /// Bytes on the wire, that is, after encoding; see AsioStream.
     [[nodiscard]] std::uint64_t bytesTransferred() const { return socket_.bytesTransferred(); }
     [[nodiscard]] TimePoint lastArrival() const { return socket_.lastArrival(); }
 
@@ -51,12 +51,12 @@
     class Inflater;
 
     void setCoding(PeerCoding coding);
-    kj::Promise<size_t> inflateMore(kj::byte *buffer, size_t minBytes, size_t maxBytes, size_t alreadyRead);
+    kj::Promise<size_t> readInflated(kj::byte *buffer, size_t minBytes, size_t maxBytes, size_t alreadyRead);
 
     AsioStream socket_;
     std::optional<PeerCoding> coding_;
-    /// The coding is still to be told to the other side.
-    bool announces_ = false;
+    /// Whether the next write has to send the coding first.
+    bool shouldSendCoding_ = false;
     std::unique_ptr<Deflater> deflater_;
     std::unique_ptr<Inflater> inflater_;
 };
--- a/src/rpc/wireconversion.cpp
+++ b/src/rpc/wireconversion.cpp
@@ -40,7 +40,7 @@
 
 Failure readFailure(Wire::Failure::Reader wire)
 {
-    // A verdict this version does not know must not be taken for a proof that nothing ran.
+    // A verdict that this version does not know is read as MayHaveRun, since it does not prove that nothing ran.
     const bool notRun = wire.getVerdict() == static_cast<std::uint8_t>(Verdict::NotRun);
     const auto reason = std::min(wire.getReason(), static_cast<std::uint8_t>(LastReason));
     return Failure{notRun ? Verdict::NotRun : Verdict::MayHaveRun, static_cast<Reason>(reason),
@@ -266,9 +266,9 @@
     wire.setListAge(static_cast<std::uint32_t>(catalog.listAge.count()));
     wire.setHeld(static_cast<std::uint32_t>(catalog.held.count()));
     const auto isListed = [](const InstanceChange &change) { return change.record.has_value(); };
-    const auto listed = std::count_if(catalog.changes.begin(), catalog.changes.end(), isListed);
-    auto instances = wire.initInstances(static_cast<unsigned>(listed));
-    auto gone = wire.initGone(static_cast<unsigned>(catalog.changes.size()) - static_cast<unsigned>(listed));
+    const auto listedCount = std::count_if(catalog.changes.begin(), catalog.changes.end(), isListed);
+    auto instances = wire.initInstances(static_cast<unsigned>(listedCount));
+    auto gone = wire.initGone(static_cast<unsigned>(catalog.changes.size()) - static_cast<unsigned>(listedCount));
     unsigned nextListed = 0;
     unsigned nextGone = 0;
     for (const InstanceChange &change : catalog.changes) {
@@ -327,7 +327,7 @@
 
 StoreState readStoreState(std::uint8_t wire)
 {
-    // What this version does not know, and what an earlier one did not say, is none to rely on.
+    // A state that this version does not know, or that a node of an earlier version did not send, is not relied on.
     return wire == static_cast<std::uint8_t>(StoreState::Recovering) ? StoreState::Recovering : StoreState::Unavailable;
 }
 
--- a/src/rpc/wireconversion.h
+++ b/src/rpc/wireconversion.h
@@ -3,10 +3,10 @@
 #include "rpc/generated/peer.capnp.h"
 #include "rpc/peermessages.h"
 
-/// Conversions between the messages of the project and their form on the wire.
+/// Conversions between the message structs (peermessages.h) and their Cap'n Proto form on the wire.
 ///
 /// Preconditions: none. Thread safety: none beyond the builders' own. Errors: kj::Exception for malformed messages;
-/// numbers out of an enumeration's range become its most careful value.
+/// a number outside an enumeration's range is read as the most cautious value.
 namespace Egretpath::WireConversion
 {
 
@@ -25,10 +25,11 @@
 [[nodiscard]] CallOutcome read(Wire::CallOutcome::Reader wire);
 [[nodiscard]] Catalog read(Wire::Catalog::Reader wire);
 [[nodiscard]] QuarantineUpdate read(Wire::QuarantineNews::Reader wire);
-/// Of a store that is not in order.
+/// Reads the state of a store that is not Available. A number that is not known is read as Unavailable.
 [[nodiscard]] StoreState readStoreState(std::uint8_t wire);
 [[nodiscard]] std::string readText(capnp::Text::Reader wire);
 [[nodiscard]] std::string readBytes(capnp::Data::Reader wire);
+/// A view of @p bytes. Precondition: @p bytes outlives the view.
 [[nodiscard]] capnp::Data::Reader asData(const std::string &bytes);
 
 }
--- a/tests/rpc/peerconnecttest.cpp
+++ b/tests/rpc/peerconnecttest.cpp
@@ -21,47 +21,49 @@
 namespace
 {
 
-/// Freed memory is filled with this, so that a use of it shows.
+/// Freed memory is filled with this value, so that an access to it has visible effects.
 constexpr int FreedMemoryFill = 0x5a;
 
-/// Longer than a connection may take.
-constexpr Milliseconds StandStill{400};
-constexpr std::chrono::seconds Patience{5};
-asio::awaitable<void> askAndWait(PeerClient &client, Endpoint peer)
+/// Longer than the time limit of a connection attempt.
+constexpr Milliseconds StallTime{400};
+constexpr std::chrono::seconds RequestTimeout{5};
+
+asio::awaitable<void> requestCatalog(PeerClient &client, Endpoint peer)
 {
     const CatalogRequest request{CatalogVersions(), Milliseconds(1000), StoreState::Available};
-    (void)co_await client.catalog(std::move(peer), request, std::chrono::steady_clock::now() + Patience);
+    (void)co_await client.catalog(std::move(peer), request, std::chrono::steady_clock::now() + RequestTimeout);
 }
 
-/// More than Asio keeps memory of ended coroutines for.
-constexpr std::size_t Attempts = 20;
+/// More than the number of ended coroutines whose memory Asio keeps for reuse.
+constexpr std::size_t ConnectAttempts = 20;
 
-asio::awaitable<void> ask(PeerClient &client, Endpoint peer, std::optional<Result<PeerProbe>> &outcome)
+asio::awaitable<void> sendProbe(PeerClient &client, Endpoint peer, std::optional<Result<PeerProbe>> &outcome)
 {
-    outcome = co_await client.probe(std::move(peer), std::chrono::steady_clock::now() + Patience);
+    outcome = co_await client.probe(std::move(peer), std::chrono::steady_clock::now() + RequestTimeout);
 }
 
 }
 
-// Callers of one VM see all their connections break at once: its node's process has died. The VM was slow, and a
-// connection to another node was made just as its time ran out, so that the loop found both in one round. The attempt
-// ended by the first, and the second reached for the socket, which was gone with it.
-TEST_CASE("a connection that is made as its limit passes is given up, and nothing is touched after that")
+// Guards against a use of freed memory that crashes the node, which breaks all connections of its VM's callers. On a
+// slow VM, a connection is made just as its time limit passes, so the event loop finds both in one round. The
+// connection ends the attempt, and the handler of the timer then accesses the socket, which was destroyed with the
+// attempt.
+TEST_CASE("a connection that is made just as its time limit passes is given up, and its socket is not used after that")
 {
     mallopt(M_PERTURB, FreedMemoryFill);
     AsioEventPort loop;
     asio::ip::tcp::acceptor acceptor(loop.context(), {asio::ip::make_address("127.0.0.1"), 0});
     const Endpoint peer("127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
     PeerClient client(loop.context());
-    std::vector<std::optional<Result<PeerProbe>>> outcomes(Attempts);
+    std::vector<std::optional<Result<PeerProbe>>> outcomes(ConnectAttempts);
     for (auto &outcome : outcomes) {
-        asio::co_spawn(loop.context(), ask(client, peer, outcome), asio::detached);
+        asio::co_spawn(loop.context(), sendProbe(client, peer, outcome), asio::detached);
     }
-    // The attempts begin, and the process stands still until their limits are over.
-    for (std::size_t begun = 0; begun < Attempts; ++begun) {
+    // The attempts start, and the process stalls until their time limits have passed.
+    for (std::size_t started = 0; started < ConnectAttempts; ++started) {
         loop.context().poll_one();
     }
-    std::this_thread::sleep_for(StandStill);
+    std::this_thread::sleep_for(StallTime);
     loop.context().run_for(Milliseconds(200));
     for (const auto &outcome : outcomes) {
         REQUIRE(outcome.has_value());
@@ -72,10 +74,10 @@
     mallopt(M_PERTURB, 0);
 }
 
-// Uploads to one service fail for all callers of a VM, each at its own time-out, for as long as the node runs; other
-// nodes reach the same upstream. A device on the way has forgotten the connection between the two nodes: it takes
-// bytes, passes nothing on and closes nothing, and the system's own probes of the connection are answered on the way.
-TEST_CASE("a connection on which nothing arrives any more is left for a new one")
+// Guards against uploads to one service that fail by timeout for all callers of a VM as long as the node runs, while
+// other nodes reach the same upstream. A network device between the two nodes has dropped its state of their
+// connection: it takes bytes, forwards nothing, closes nothing, and answers the TCP keepalive probes.
+TEST_CASE("a connection on which nothing arrives any more is replaced by a new one")
 {
     AsioEventPort loop;
     asio::ip::tcp::acceptor acceptor(loop.context(), {asio::ip::make_address("127.0.0.1"), 0});
@@ -92,22 +94,22 @@
     accept();
     PeerClient client(loop.context());
     std::optional<Result<PeerProbe>> first;
-    std::optional<Result<PeerProbe>> soon;
-    std::optional<Result<PeerProbe>> later;
-    asio::co_spawn(loop.context(), ask(client, peer, first), asio::detached);
+    std::optional<Result<PeerProbe>> beforeSilence;
+    std::optional<Result<PeerProbe>> afterSilence;
+    asio::co_spawn(loop.context(), sendProbe(client, peer, first), asio::detached);
     loop.context().run_for(Milliseconds(100));
-    asio::co_spawn(loop.context(), ask(client, peer, soon), asio::detached);
+    asio::co_spawn(loop.context(), sendProbe(client, peer, beforeSilence), asio::detached);
     loop.context().run_for(Milliseconds(100));
     CHECK(accepted.size() == 1);
     loop.context().run_for(Milliseconds(700));
-    asio::co_spawn(loop.context(), ask(client, peer, later), asio::detached);
+    asio::co_spawn(loop.context(), sendProbe(client, peer, afterSilence), asio::detached);
     loop.context().run_for(Milliseconds(100));
     CHECK(accepted.size() == 2);
-    // Those that wait on it go on waiting: a slow peer looks the same for a while.
+    // Requests that wait on the old connection keep waiting, since a slow peer looks the same for a while.
     CHECK_FALSE(first.has_value());
 }
 
-TEST_CASE("a question that the peer may take its time with does not make its connection look silent")
+TEST_CASE("a request that the peer may hold does not make its connection look silent")
 {
     AsioEventPort loop;
     asio::ip::tcp::acceptor acceptor(loop.context(), {asio::ip::make_address("127.0.0.1"), 0});
@@ -125,10 +127,10 @@
     };
     accept();
     PeerClient client(loop.context());
-    asio::co_spawn(loop.context(), askAndWait(client, peer), asio::detached);
+    asio::co_spawn(loop.context(), requestCatalog(client, peer), asio::detached);
     loop.context().run_for(Milliseconds(800));
     std::optional<Result<PeerProbe>> outcome;
-    asio::co_spawn(loop.context(), ask(client, peer, outcome), asio::detached);
+    asio::co_spawn(loop.context(), sendProbe(client, peer, outcome), asio::detached);
     loop.context().run_for(Milliseconds(100));
     CHECK(accepted == 1);
 }
--- a/tests/rpc/peerrpctest.cpp
+++ b/tests/rpc/peerrpctest.cpp
@@ -16,9 +16,9 @@
 {
 
 const Endpoint ServerEndpoint("127.0.0.1:24711");
-constexpr std::size_t ConnectionCap = 8;
+constexpr std::size_t MaxConnections = 8;
 
-bool always(CallHead & /*head*/)
+bool permitAlways(CallHead & /*head*/)
 {
     return true;
 }
@@ -29,7 +29,8 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-/// Answers with the body it got, after as many milliseconds as the target says.
+/// Answers with the body of the call after the number of milliseconds that the target names. If the target is "stream",
+/// streams the body twice.
 class EchoService final : public PeerService
 {
 public:
@@ -38,12 +39,12 @@
     asio::awaitable<CallOutcome> call(CallHead head, std::string body, std::shared_ptr<AnswerReceiver> answer,
                                       std::shared_ptr<Cancellation> cancellation) override
     {
-        cancellation->setAction([this] { ++cancelled; });
+        cancellation->setAction([this] { ++cancelCount; });
         lastHead = head;
         if (head.target == "stream") {
-            streamed = co_await answer->begin(AnswerHead{200, {}});
-            streamed = streamed && co_await answer->write(body) && co_await answer->write(body);
-            streamed = streamed && co_await answer->end();
+            isStreamed = co_await answer->begin(AnswerHead{200, {}});
+            isStreamed = isStreamed && co_await answer->write(body) && co_await answer->write(body);
+            isStreamed = isStreamed && co_await answer->end();
             co_return CallOutcome{identity(), {}, StreamedAnswer{}, versions};
         }
         co_await sleepFor(Milliseconds(std::stoi(head.target)));
@@ -55,24 +56,24 @@
     PeerProbe probe() override { return {identity(), {}}; }
     asio::awaitable<Catalog> catalog(CatalogRequest request) override
     {
-        lastRequest = request;
-        co_return sent;
+        lastCatalogRequest = request;
+        co_return catalogAnswer;
     }
 
     QuarantineUpdate quarantine(const QuarantineUpdate &update) override
     {
         lastUpdate = update;
-        return answeredNews;
+        return quarantineAnswer;
     }
 
     CatalogVersions versions{RouteVersion(3), StoreRevision(9)};
     CallHead lastHead;
     QuarantineUpdate lastUpdate;
-    QuarantineUpdate answeredNews;
-    int cancelled = 0;
-    bool streamed = false;
-    CatalogRequest lastRequest;
-    Catalog sent;
+    QuarantineUpdate quarantineAnswer;
+    int cancelCount = 0;
+    bool isStreamed = false;
+    CatalogRequest lastCatalogRequest;
+    Catalog catalogAnswer;
 };
 
 class CollectingReceiver final : public AnswerReceiver
@@ -90,16 +91,16 @@
     }
     asio::awaitable<bool> end() override
     {
-        ended = true;
+        hasEnded = true;
         co_return true;
     }
 
     int status = 0;
     std::string body;
-    bool ended = false;
+    bool hasEnded = false;
 };
 
-/// A server and a client in one loop.
+/// A server and a client on one event loop.
 struct Fixture
 {
     Fixture() { server.listen(ServerEndpoint); }
@@ -112,10 +113,10 @@
         return head;
     }
 
-    asio::awaitable<Result<CallOutcome>> call(std::string target, std::string body, Milliseconds limit)
+    asio::awaitable<Result<CallOutcome>> call(std::string target, std::string body, Milliseconds timeout)
     {
-        co_return co_await client.call(ServerEndpoint, head(std::move(target)), std::move(body), receiver, always,
-                                       std::chrono::steady_clock::now() + limit, std::make_shared<Cancellation>());
+        co_return co_await client.call(ServerEndpoint, head(std::move(target)), std::move(body), receiver, permitAlways,
+                                       std::chrono::steady_clock::now() + timeout, std::make_shared<Cancellation>());
     }
 
     void run(asio::awaitable<void> work)
@@ -134,12 +135,13 @@
     AsioEventPort port;
     asio::io_context &context = port.context();
     EchoService service;
-    PeerServer server{context, service, ConnectionCap};
+    PeerServer server{context, service, MaxConnections};
     PeerClient client{context};
     std::shared_ptr<CollectingReceiver> receiver = std::make_shared<CollectingReceiver>();
 };
 
-asio::awaitable<void> callInto(Fixture &fixture, std::string target, std::string body, std::vector<std::string> &order)
+asio::awaitable<void> callAndRecordBody(Fixture &fixture, std::string target, std::string body,
+                                        std::vector<std::string> &order)
 {
     const auto outcome = co_await fixture.call(std::move(target), std::move(body), Milliseconds(2000));
     order.push_back(std::get<CompleteAnswer>(outcome.value().result).body);
@@ -147,7 +149,7 @@
 
 }
 
-TEST_CASE("a call arrives as it was sent")
+TEST_CASE("a call head arrives at the server as it was sent")
 {
     Fixture fixture;
     fixture.run([](Fixture &f) -> asio::awaitable<void> {
@@ -167,31 +169,31 @@
         head.targetLatencyLeft = Microseconds(-20);
         head.declineThreshold = Microseconds(90);
         head.disconnectedUpstream = UpstreamName("i-1");
-        const TimePoint limit = std::chrono::steady_clock::now() + Milliseconds(2000);
-        const auto outcome = co_await f.client.call(ServerEndpoint, head, std::string("body"), f.receiver, always,
-                                                    limit, std::make_shared<Cancellation>());
+        const TimePoint deadline = std::chrono::steady_clock::now() + Milliseconds(2000);
+        const auto outcome = co_await f.client.call(ServerEndpoint, head, std::string("body"), f.receiver, permitAlways,
+                                                    deadline, std::make_shared<Cancellation>());
         CHECK(outcome.has_value());
-        const CallHead &got = f.service.lastHead;
-        CHECK(got.requestId == head.requestId);
-        CHECK(got.attempt == head.attempt);
-        CHECK(got.ingress == head.ingress);
-        CHECK(got.service == head.service);
-        CHECK(got.method == head.method);
-        CHECK(got.remaining == head.remaining);
-        CHECK(got.sentAt == head.sentAt);
-        CHECK(got.repeatable);
-        CHECK(got.targetUpstream == head.targetUpstream);
-        CHECK(got.callerService == head.callerService);
-        CHECK(got.route == head.route);
-        CHECK(got.priority == head.priority);
-        CHECK(got.targetLatencyLeft == head.targetLatencyLeft);
-        CHECK(got.declineThreshold == head.declineThreshold);
-        CHECK_FALSE(got.dryRun);
-        CHECK(got.disconnectedUpstream == head.disconnectedUpstream);
+        const CallHead &received = f.service.lastHead;
+        CHECK(received.requestId == head.requestId);
+        CHECK(received.attempt == head.attempt);
+        CHECK(received.ingress == head.ingress);
+        CHECK(received.service == head.service);
+        CHECK(received.method == head.method);
+        CHECK(received.remaining == head.remaining);
+        CHECK(received.sentAt == head.sentAt);
+        CHECK(received.repeatable);
+        CHECK(received.targetUpstream == head.targetUpstream);
+        CHECK(received.callerService == head.callerService);
+        CHECK(received.route == head.route);
+        CHECK(received.priority == head.priority);
+        CHECK(received.targetLatencyLeft == head.targetLatencyLeft);
+        CHECK(received.declineThreshold == head.declineThreshold);
+        CHECK_FALSE(received.dryRun);
+        CHECK(received.disconnectedUpstream == head.disconnectedUpstream);
     }(fixture));
 }
 
-TEST_CASE("an answer carries head, body, identity and report")
+TEST_CASE("an answer carries its head and body, the node's identity, load report and catalog versions")
 {
     Fixture fixture;
     fixture.run([](Fixture &f) -> asio::awaitable<void> {
@@ -208,14 +210,14 @@
     }(fixture));
 }
 
-TEST_CASE("answers that come back in another order reach their own calls")
+TEST_CASE("answers that arrive in another order than their calls reach the right calls")
 {
     Fixture fixture;
     std::vector<std::string> order;
-    fixture.run([](Fixture &f, std::vector<std::string> &done) -> asio::awaitable<void> {
+    fixture.run([](Fixture &f, std::vector<std::string> &recorded) -> asio::awaitable<void> {
         const auto executor = co_await asio::this_coro::executor;
-        asio::co_spawn(executor, callInto(f, "60", "first", done), asio::detached);
-        asio::co_spawn(executor, callInto(f, "5", "second", done), asio::detached);
+        asio::co_spawn(executor, callAndRecordBody(f, "60", "first", recorded), asio::detached);
+        asio::co_spawn(executor, callAndRecordBody(f, "5", "second", recorded), asio::detached);
         co_await sleepFor(Milliseconds(150));
     }(fixture, order));
     CHECK(order == std::vector<std::string>{"second", "first"});
@@ -230,14 +232,14 @@
         REQUIRE(outcome.has_value());
         CHECK(std::holds_alternative<StreamedAnswer>(outcome.value().result));
         CHECK(f.receiver->body == chunk + chunk);
-        CHECK(f.receiver->ended);
+        CHECK(f.receiver->hasEnded);
     }(fixture));
 }
 
-TEST_CASE("a call without an answer ends at its deadline and the egress is told")
+TEST_CASE("a call without an answer ends at its deadline and is cancelled at the egress")
 {
-    // The upstream hangs; the caller gets its verdict at the deadline. What was handed over may have run, and the
-    // egress hears of the cancellation, so that the upstream does not work for nobody.
+    // Guards against an upstream that keeps working on a call that its caller has given up. The upstream hangs; at the
+    // deadline the caller gets the verdict that the call may have run, and the egress is told to cancel the call.
     Fixture fixture;
     fixture.run([](Fixture &f) -> asio::awaitable<void> {
         const auto outcome = co_await f.call("400", "", Milliseconds(50));
@@ -245,16 +247,16 @@
         CHECK(outcome.error().verdict == Verdict::MayHaveRun);
         CHECK(outcome.error().reason == Reason::DeadlinePassed);
         co_await sleepFor(Milliseconds(50));
-        CHECK(f.service.cancelled == 1);
+        CHECK(f.service.cancelCount == 1);
     }(fixture));
 }
 
-TEST_CASE("a peer that can't be reached has not run the call")
+TEST_CASE("a call to a peer that can't be reached fails as not run")
 {
     Fixture fixture;
     fixture.run([](Fixture &f) -> asio::awaitable<void> {
-        const auto outcome = co_await f.client.call(Endpoint("127.0.0.1:24712"), f.head("0"), "", f.receiver, always,
-                                                    std::chrono::steady_clock::now() + Milliseconds(500),
+        const auto outcome = co_await f.client.call(Endpoint("127.0.0.1:24712"), f.head("0"), "", f.receiver,
+                                                    permitAlways, std::chrono::steady_clock::now() + Milliseconds(500),
                                                     std::make_shared<Cancellation>());
         REQUIRE_FALSE(outcome.has_value());
         CHECK(outcome.error().verdict == Verdict::NotRun);
@@ -264,8 +266,8 @@
 
 TEST_CASE("a call whose permit is refused is not sent")
 {
-    // The caller's deadline passes while the connection is made; the caller is told that nothing ran. The node must
-    // not send the call afterwards.
+    // Guards against a call that runs after its caller was told that nothing ran: the caller's deadline passes while
+    // the connection is made, and the node then sends the call.
     Fixture fixture;
     fixture.run([](Fixture &f) -> asio::awaitable<void> {
         const auto outcome = co_await f.client.call(
@@ -276,7 +278,7 @@
     }(fixture));
 }
 
-TEST_CASE("routes and changes of the list travel whole")
+TEST_CASE("a catalog request and the catalog in its answer arrive as they were sent")
 {
     Fixture fixture;
     fixture.run([](Fixture &f) -> asio::awaitable<void> {
@@ -290,71 +292,73 @@
         record.state = InstanceState::Draining;
         record.warmUp = Milliseconds(300);
         record.revision = StoreRevision(8);
-        f.service.sent.has = {RouteVersion(5), StoreRevision(9)};
-        f.service.sent.routes = PackedRoutes{"{routes}"};
-        f.service.sent.routesAge = Milliseconds(40);
-        f.service.sent.listAge = Milliseconds(50);
-        f.service.sent.held = Milliseconds(30);
-        f.service.sent.whole = true;
-        f.service.sent.changes = {{record.id, record.revision, record}, {UpstreamName("u2"), StoreRevision(9), {}}};
-        f.service.sent.store = StoreState::Recovering;
-        f.service.sent.reader = Endpoint("10.0.0.1:7620");
-        f.service.sent.storeAge = Milliseconds(60);
-        f.service.sent.storeAvailableFor = Milliseconds(70);
-        f.service.sent.quarantine = QuarantineDigest(80);
-        f.service.sent.hops = 2;
+        f.service.catalogAnswer.has = {RouteVersion(5), StoreRevision(9)};
+        f.service.catalogAnswer.routes = PackedRoutes{"{routes}"};
+        f.service.catalogAnswer.routesAge = Milliseconds(40);
+        f.service.catalogAnswer.listAge = Milliseconds(50);
+        f.service.catalogAnswer.held = Milliseconds(30);
+        f.service.catalogAnswer.whole = true;
+        f.service.catalogAnswer.changes = {{record.id, record.revision, record},
+                                           {UpstreamName("u2"), StoreRevision(9), {}}};
+        f.service.catalogAnswer.store = StoreState::Recovering;
+        f.service.catalogAnswer.reader = Endpoint("10.0.0.1:7620");
+        f.service.catalogAnswer.storeAge = Milliseconds(60);
+        f.service.catalogAnswer.storeAvailableFor = Milliseconds(70);
+        f.service.catalogAnswer.quarantine = QuarantineDigest(80);
+        f.service.catalogAnswer.hops = 2;
         const CatalogRequest request{{RouteVersion(4), StoreRevision(7)}, Milliseconds(20), StoreState::Unavailable};
         const auto catalog =
             co_await f.client.catalog(ServerEndpoint, request, std::chrono::steady_clock::now() + Milliseconds(1000));
         REQUIRE(catalog.has_value());
-        CHECK(f.service.lastRequest.have.routes == RouteVersion(4));
-        CHECK(f.service.lastRequest.have.list == StoreRevision(7));
-        CHECK(f.service.lastRequest.wait == Milliseconds(20));
-        CHECK(f.service.lastRequest.known == StoreState::Unavailable);
-        const Catalog &got = catalog.value();
-        CHECK(got.has.routes == RouteVersion(5));
-        CHECK(got.has.list == StoreRevision(9));
-        CHECK(got.routes.bytes == "{routes}");
-        CHECK(got.routesAge == Milliseconds(40));
-        CHECK(got.listAge == Milliseconds(50));
-        CHECK(got.held == Milliseconds(30));
-        CHECK(got.whole);
-        CHECK(got.store == StoreState::Recovering);
-        CHECK(got.reader == Endpoint("10.0.0.1:7620"));
-        CHECK(got.storeAge == Milliseconds(60));
-        CHECK(got.storeAvailableFor == Milliseconds(70));
-        CHECK(got.quarantine == QuarantineDigest(80));
-        CHECK(got.hops == 2);
-        REQUIRE(got.changes.size() == 2);
-        REQUIRE(got.changes[0].record.has_value());
-        CHECK(got.changes[0].record->node == record.node);
-        CHECK(got.changes[0].record->state == InstanceState::Draining);
-        CHECK(got.changes[0].record->warmUp == Milliseconds(300));
-        CHECK(got.changes[1].id == UpstreamName("u2"));
-        CHECK_FALSE(got.changes[1].record.has_value());
+        CHECK(f.service.lastCatalogRequest.have.routes == RouteVersion(4));
+        CHECK(f.service.lastCatalogRequest.have.list == StoreRevision(7));
+        CHECK(f.service.lastCatalogRequest.wait == Milliseconds(20));
+        CHECK(f.service.lastCatalogRequest.known == StoreState::Unavailable);
+        const Catalog &received = catalog.value();
+        CHECK(received.has.routes == RouteVersion(5));
+        CHECK(received.has.list == StoreRevision(9));
+        CHECK(received.routes.bytes == "{routes}");
+        CHECK(received.routesAge == Milliseconds(40));
+        CHECK(received.listAge == Milliseconds(50));
+        CHECK(received.held == Milliseconds(30));
+        CHECK(received.whole);
+        CHECK(received.store == StoreState::Recovering);
+        CHECK(received.reader == Endpoint("10.0.0.1:7620"));
+        CHECK(received.storeAge == Milliseconds(60));
+        CHECK(received.storeAvailableFor == Milliseconds(70));
+        CHECK(received.quarantine == QuarantineDigest(80));
+        CHECK(received.hops == 2);
+        REQUIRE(received.changes.size() == 2);
+        REQUIRE(received.changes[0].record.has_value());
+        CHECK(received.changes[0].record->node == record.node);
+        CHECK(received.changes[0].record->state == InstanceState::Draining);
+        CHECK(received.changes[0].record->warmUp == Milliseconds(300));
+        CHECK(received.changes[1].id == UpstreamName("u2"));
+        CHECK_FALSE(received.changes[1].record.has_value());
     }(fixture));
 }
 
-TEST_CASE("what nodes tell each other of requests that end upstreams arrives as it was sent")
+TEST_CASE("quarantine updates arrive as they were sent in both directions")
 {
-    const SuspectedRequest asked{fingerprintOf({"GET", "h", "/a", ""}), {{UpstreamCrashId(3)}}, Milliseconds(40)};
-    const SuspectedRequest answered{fingerprintOf({"GET", "h", "/b", ""}),
-                                    {{UpstreamCrashId(4), true}, {UpstreamCrashId(5)}},
-                                    std::chrono::hours(20)};
+    const SuspectedRequest requestOfClient{
+        fingerprintOf({"GET", "h", "/a", ""}), {{UpstreamCrashId(3)}}, Milliseconds(40)};
+    const SuspectedRequest requestOfServer{fingerprintOf({"GET", "h", "/b", ""}),
+                                           {{UpstreamCrashId(4), true}, {UpstreamCrashId(5)}},
+                                           std::chrono::hours(20)};
     Fixture fixture;
-    fixture.service.answeredNews = {QuarantineDigest(8), {answered}};
+    fixture.service.quarantineAnswer = {QuarantineDigest(8), {requestOfServer}};
     fixture.run([&](Fixture &f) -> asio::awaitable<void> {
-        QuarantineUpdate update{QuarantineDigest(7), {asked}};
+        QuarantineUpdate update{QuarantineDigest(7), {requestOfClient}};
         const auto answer = co_await f.client.quarantine(ServerEndpoint, std::move(update),
                                                          std::chrono::steady_clock::now() + Milliseconds(1000));
         REQUIRE(answer.has_value());
         CHECK(answer.value().digest == QuarantineDigest(8));
         REQUIRE(answer.value().requests.size() == 1);
-        CHECK(answer.value().requests[0].fingerprint == answered.fingerprint);
-        CHECK(answer.value().requests[0].crashes == answered.crashes);
-        CHECK(answer.value().requests[0].age == answered.age);
+        CHECK(answer.value().requests[0].fingerprint == requestOfServer.fingerprint);
+        CHECK(answer.value().requests[0].crashes == requestOfServer.crashes);
+        CHECK(answer.value().requests[0].age == requestOfServer.age);
     }(fixture));
     CHECK(fixture.service.lastUpdate.digest == QuarantineDigest(7));
     REQUIRE(fixture.service.lastUpdate.requests.size() == 1);
-    CHECK(fixture.service.lastUpdate.requests[0].crashes == asked.crashes);
+    CHECK(fixture.service.lastUpdate.requests[0].crashes == requestOfClient.crashes);
 }
--- a/tests/rpc/peerstreamtest.cpp
+++ b/tests/rpc/peerstreamtest.cpp
@@ -20,8 +20,8 @@
 namespace
 {
 
-/// What heads look like: the same names and nearly the same values each time.
-std::string head(int number)
+/// A typical head: the same names and nearly the same values for every @p number.
+std::string repetitiveHead(int number)
 {
     std::string text;
     for (int field = 0; field < 10; ++field) {
@@ -40,13 +40,13 @@
     return bytes;
 }
 
-/// Runs the loop of @p port until @p promise has settled; nothing if it failed.
-std::optional<size_t> wait(AsioEventPort &port, kj::Promise<size_t> promise)
+/// Runs the loop of @p port until @p promise is fulfilled or rejected. Returns nothing if it is rejected.
+std::optional<size_t> runUntilSettled(AsioEventPort &port, kj::Promise<size_t> promise)
 {
     std::optional<size_t> result;
     const auto work = [&]() -> boost::asio::awaitable<void> {
-        const Settled<size_t> settled = co_await settle(kj::mv(promise));
-        result = settled.value;
+        const PromiseResult<size_t> promiseResult = co_await awaitPromise(kj::mv(promise));
+        result = promiseResult.value;
         port.context().stop();
     };
     boost::asio::co_spawn(port.context(), work, boost::asio::detached);
@@ -55,17 +55,17 @@
     return result;
 }
 
-/// Two ends of a connection on loopback, and the loop that serves them.
-struct Ends
+/// The two ends of a connection on loopback, with the event loop that runs them.
+struct ConnectionPair
 {
-    explicit Ends(PeerCoding coding)
-        : sockets(connected(port.context()))
+    explicit ConnectionPair(PeerCoding coding)
+        : sockets(connectSockets(port.context()))
         , client(std::move(sockets.first), coding)
         , server(std::move(sockets.second))
     {
     }
 
-    static std::pair<tcp::socket, tcp::socket> connected(boost::asio::io_context &context)
+    static std::pair<tcp::socket, tcp::socket> connectSockets(boost::asio::io_context &context)
     {
         tcp::acceptor acceptor(context, {boost::asio::ip::address_v4::loopback(), 0});
         tcp::socket client(context);
@@ -73,19 +73,19 @@
         return {std::move(client), acceptor.accept()};
     }
 
-    /// Sends @p text from one end and returns what the other reads.
-    std::string pass(PeerStream &from, PeerStream &to, const std::string &text)
+    /// Sends @p text from one end and returns what the other end reads.
+    std::string transfer(PeerStream &from, PeerStream &to, const std::string &text)
     {
         std::string read(text.size(), '\0');
         const auto written = from.write(text.data(), text.size()).eagerlyEvaluate(nullptr);
-        CHECK(take(to, read.data(), read.size()) == text.size());
+        CHECK(readExactly(to, read.data(), read.size()) == text.size());
         return read;
     }
 
-    /// What a read of exactly @p size bytes returns.
-    std::size_t take(PeerStream &from, char *buffer, std::size_t size)
+    /// Reads exactly @p size bytes. Returns how many were read; 0 if the read failed.
+    std::size_t readExactly(PeerStream &from, char *buffer, std::size_t size)
     {
-        return wait(port, from.tryRead(buffer, size, size)).value_or(0);
+        return runUntilSettled(port, from.tryRead(buffer, size, size)).value_or(0);
     }
 
     AsioEventPort port;
@@ -94,67 +94,69 @@
     PeerStream server;
 };
 
-std::uint64_t bytesOfHeads(PeerCoding coding)
+std::uint64_t bytesForHeads(PeerCoding coding)
 {
-    Ends ends(coding);
+    ConnectionPair connection(coding);
     for (int number = 0; number < 50; ++number) {
-        CHECK(ends.pass(ends.client, ends.server, head(number)) == head(number));
-        CHECK(ends.pass(ends.server, ends.client, head(number)) == head(number));
+        CHECK(connection.transfer(connection.client, connection.server, repetitiveHead(number))
+              == repetitiveHead(number));
+        CHECK(connection.transfer(connection.server, connection.client, repetitiveHead(number))
+              == repetitiveHead(number));
     }
-    return ends.client.bytesTransferred();
+    return connection.client.bytesTransferred();
 }
 
-/// Whether the accepting side gives up a connection on which these @p bytes come.
-bool endsOn(std::string_view bytes)
+/// Whether the accepting side ends a connection on which it reads @p bytes.
+bool isConnectionEndedBy(std::string_view bytes)
 {
     AsioEventPort port;
-    auto sockets = Ends::connected(port.context());
+    auto sockets = ConnectionPair::connectSockets(port.context());
     PeerStream server(std::move(sockets.second));
     boost::asio::write(sockets.first, boost::asio::buffer(bytes));
     char byte = 0;
-    return !wait(port, server.tryRead(&byte, 1, 1)).has_value();
+    return !runUntilSettled(port, server.tryRead(&byte, 1, 1)).has_value();
 }
 
 }
 
-// Two of five answers come over a link between regions, which is paid for by volume. Each brings a head of half a KiB
-// that hardly differs from the one before it, and so does each call that is declined.
-TEST_CASE("heads that repeat themselves cost little on a compressed stream")
+// Guards against high traffic costs. Two of five answers come over a link between regions, which is paid for by volume.
+// Each answer and each declined call has a head of half a KiB that hardly differs from the previous one.
+TEST_CASE("heads that repeat the previous one take less than a fifth of their bytes on a compressed stream")
 {
-    CHECK(bytesOfHeads(PeerCoding::Deflate) * 5 < bytesOfHeads(PeerCoding::Plain));
+    CHECK(bytesForHeads(PeerCoding::Deflate) * 5 < bytesForHeads(PeerCoding::Plain));
 }
 
-TEST_CASE("bodies of any size and content pass in both codings")
+TEST_CASE("bodies of any size and content arrive unchanged in both codings")
 {
     for (const PeerCoding coding : {PeerCoding::Plain, PeerCoding::Deflate}) {
-        Ends ends(coding);
+        ConnectionPair connection(coding);
         for (const std::size_t size : {1U, 4096U, 4097U, 300'000U}) {
             const std::string bytes = randomBytes(size);
-            CHECK(ends.pass(ends.client, ends.server, bytes) == bytes);
-            CHECK(ends.pass(ends.server, ends.client, bytes) == bytes);
+            CHECK(connection.transfer(connection.client, connection.server, bytes) == bytes);
+            CHECK(connection.transfer(connection.server, connection.client, bytes) == bytes);
             const std::string zeros(size, '\0');
-            CHECK(ends.pass(ends.client, ends.server, zeros) == zeros);
+            CHECK(connection.transfer(connection.client, connection.server, zeros) == zeros);
         }
     }
 }
 
 TEST_CASE("a read that asks for less leaves the rest for the next one")
 {
-    Ends ends(PeerCoding::Deflate);
-    const auto written = ends.client.write("abcdef", 6).eagerlyEvaluate(nullptr);
+    ConnectionPair connection(PeerCoding::Deflate);
+    const auto written = connection.client.write("abcdef", 6).eagerlyEvaluate(nullptr);
     std::string read(6, '\0');
-    CHECK(ends.take(ends.server, read.data(), 2) == 2);
-    CHECK(ends.take(ends.server, read.data() + 2, 4) == 4);
+    CHECK(connection.readExactly(connection.server, read.data(), 2) == 2);
+    CHECK(connection.readExactly(connection.server, read.data() + 2, 4) == 4);
     CHECK(read == "abcdef");
 }
 
-// Something that is no node connects to the port, or a node of another version.
-TEST_CASE("a connection in an unknown coding ends")
+// Guards against misread bytes when a program that is not a node, or a node of another version, connects to the port.
+TEST_CASE("an unknown coding ends the connection")
 {
-    CHECK(endsOn("GET / HTTP/1.1\r\n\r\n"));
+    CHECK(isConnectionEndedBy("GET / HTTP/1.1\r\n\r\n"));
 }
 
 TEST_CASE("bytes that are no deflate stream end the connection")
 {
-    CHECK(endsOn("\x01\xff\xff\xff\xff\xff\xff\xff"));
+    CHECK(isConnectionEndedBy("\x01\xff\xff\xff\xff\xff\xff\xff"));
 }
