--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -113,7 +113,7 @@
         co_return ended;
     }
     Result<CallOutcome> result =
-        co_await connectAndExchange(head_.repeatable ? HttpConnectionChoice::Pooled : HttpConnectionChoice::Fresh);
+        co_await connectAndExchange(head_.isRepeatable ? HttpConnectionChoice::Pooled : HttpConnectionChoice::Fresh);
     if (!result && mayResend(result.error())) {
         // The upstream closed the idle connection while the request was being sent. No answer came, and the request may
         // run more than once, so it is sent again. This can't happen on a new connection.
@@ -360,7 +360,7 @@
 
 bool UpstreamRequest::mayResend(const Failure &failure) const
 {
-    return head_.repeatable && failure.reason == Reason::ConnectionLost && httpCall_ && httpCall_->reused()
+    return head_.isRepeatable && failure.reason == Reason::ConnectionLost && httpCall_ && httpCall_->reused()
         && !cancellation_->isCancelled();
 }
 
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -234,7 +234,7 @@
     head.target = request.target;
     head.headers = request.headers;
     head.headers.removeHopByHop();
-    head.repeatable = route.kind == RequestKind::Safe;
+    head.isRepeatable = route.kind == RequestKind::Safe;
     head.targetUpstream = requestTry.upstream;
     head.callerService = context_->localNode.service;
     head.route = route.name;
--- a/src/rpc/peermessages.h
+++ b/src/rpc/peermessages.h
@@ -45,7 +45,7 @@
     /// Boot clock of the ingress when the call was sent. Other nodes can only use differences between such times.
     Microseconds sentAt{0};
     /// Whether running the call more than once is safe.
-    bool repeatable = false;
+    bool isRepeatable = false;
     /// The upstream that must run the call; empty allows any.
     UpstreamName targetUpstream;
     /// The service on the VM where the request began.
@@ -104,18 +104,18 @@
     /// How long the other node may hold the request while it has nothing newer.
     Milliseconds wait{0};
     /// The store state of the other node as the requesting node knows it. A different state counts as something newer.
-    StoreState known = StoreState::Available;
+    StoreState knownState = StoreState::Available;
 };
 
 /// The routes and instances that the requesting node lacks, as the other node sends them.
 struct Catalog
 {
     /// What the sender has; zero for what it lacks.
-    CatalogVersions has;
+    CatalogVersions versions;
     /// As the platform published them; empty if the requesting node has them.
     PackedRoutes routes;
     /// Whether the changes are the whole list. Otherwise they are the changes after the requesting node's revision.
-    bool whole = false;
+    bool isSnapshot = false;
     std::vector<InstanceChange> changes;
     /// The state of the platform's store as the sender knows it.
     StoreState store = StoreState::Unavailable;
@@ -134,7 +134,7 @@
     /// The set of requests that the sender refuses because they crash upstreams.
     QuarantineDigest quarantine;
     /// How long the sender held the request because it had nothing newer.
-    Milliseconds held{0};
+    Milliseconds heldFor{0};
 };
 
 /// The answer to a probe.
--- a/src/rpc/peerserver.cpp
+++ b/src/rpc/peerserver.cpp
@@ -129,7 +129,7 @@
         request.have = {RouteVersion(params.getHaveRoutes()), StoreRevision(params.getHaveRevision())};
         request.wait = std::min(Milliseconds(params.getWait()), MaxCatalogWait);
         const bool isNotAvailable = params.getKnown() != static_cast<std::uint8_t>(StoreState::Available);
-        request.known = isNotAvailable ? WireConversion::readStoreState(params.getKnown()) : StoreState::Available;
+        request.knownState = isNotAvailable ? WireConversion::readStoreState(params.getKnown()) : StoreState::Available;
         return toPromise(executor_, service_.catalog(request)).then([context](Catalog catalog) mutable {
             WireConversion::write(context.getResults().initCatalog(), catalog);
         });
--- a/src/rpc/wireconversion.cpp
+++ b/src/rpc/wireconversion.cpp
@@ -168,7 +168,7 @@
     write(wire.initHeaders(static_cast<unsigned>(head.headers.size())), head.headers);
     wire.setRemaining(static_cast<std::uint64_t>(std::max<Microseconds::rep>(0, head.remaining.count())));
     wire.setSentAt(head.sentAt.count());
-    wire.setRepeatable(head.repeatable);
+    wire.setRepeatable(head.isRepeatable);
     wire.setTargetUpstream(head.targetUpstream.value());
     wire.setCallerService(head.callerService.value());
     wire.setRoute(head.route.value());
@@ -191,7 +191,7 @@
     head.headers = readHeaders(wire.getHeaders());
     head.remaining = Microseconds(wire.getRemaining());
     head.sentAt = Microseconds(wire.getSentAt());
-    head.repeatable = wire.getRepeatable();
+    head.isRepeatable = wire.getRepeatable();
     head.targetUpstream = UpstreamName(readText(wire.getTargetUpstream()));
     head.callerService = ServiceName(readText(wire.getCallerService()));
     head.route = RouteName(readText(wire.getRoute()));
@@ -251,10 +251,10 @@
 
 void write(Wire::Catalog::Builder wire, const Catalog &catalog)
 {
-    wire.setRoutesVersion(catalog.has.routes.value());
+    wire.setRoutesVersion(catalog.versions.routes.value());
     wire.setRoutes(asData(catalog.routes.bytes));
-    wire.setRevision(catalog.has.list.value());
-    wire.setWhole(catalog.whole);
+    wire.setRevision(catalog.versions.list.value());
+    wire.setWhole(catalog.isSnapshot);
     wire.setInOrder(catalog.store == StoreState::Available);
     wire.setStore(static_cast<std::uint8_t>(catalog.store));
     wire.setReader(catalog.reader.value());
@@ -264,7 +264,7 @@
     wire.setHops(catalog.hops);
     wire.setRoutesAge(static_cast<std::uint32_t>(catalog.routesAge.count()));
     wire.setListAge(static_cast<std::uint32_t>(catalog.listAge.count()));
-    wire.setHeld(static_cast<std::uint32_t>(catalog.held.count()));
+    wire.setHeld(static_cast<std::uint32_t>(catalog.heldFor.count()));
     const auto isListed = [](const InstanceChange &change) { return change.record.has_value(); };
     const auto listedCount = std::count_if(catalog.changes.begin(), catalog.changes.end(), isListed);
     auto instances = wire.initInstances(static_cast<unsigned>(listedCount));
@@ -284,9 +284,9 @@
 Catalog read(Wire::Catalog::Reader wire)
 {
     Catalog catalog;
-    catalog.has = {RouteVersion(wire.getRoutesVersion()), StoreRevision(wire.getRevision())};
+    catalog.versions = {RouteVersion(wire.getRoutesVersion()), StoreRevision(wire.getRevision())};
     catalog.routes.bytes = readBytes(wire.getRoutes());
-    catalog.whole = wire.getWhole();
+    catalog.isSnapshot = wire.getWhole();
     catalog.store = wire.getInOrder() ? StoreState::Available : readStoreState(wire.getStore());
     catalog.reader = Endpoint(readText(wire.getReader()));
     catalog.storeAge = Milliseconds(wire.getStoreAge());
@@ -295,7 +295,7 @@
     catalog.hops = wire.getHops();
     catalog.routesAge = Milliseconds(wire.getRoutesAge());
     catalog.listAge = Milliseconds(wire.getListAge());
-    catalog.held = Milliseconds(wire.getHeld());
+    catalog.heldFor = Milliseconds(wire.getHeld());
     for (const auto item : wire.getInstances()) {
         InstanceRecord record = readRecord(item);
         catalog.changes.push_back({record.id, record.revision, std::move(record)});
--- a/src/sidecar/catalogcontents.cpp
+++ b/src/sidecar/catalogcontents.cpp
@@ -47,15 +47,15 @@
 
 void CatalogContents::writeUpdates(const CatalogVersions &have, Catalog &catalog) const
 {
-    catalog.has = versions();
-    if (catalog.has.routes > have.routes) {
+    catalog.versions = versions();
+    if (catalog.versions.routes > have.routes) {
         catalog.routes = state_.packedRoutes;
         catalog.routesAge = timeSince(routesReadAt_);
     }
-    if (catalog.has.list > have.list) {
+    if (catalog.versions.list > have.list) {
         auto changes = state_.directory.changesSince(have.list);
         catalog.listAge = timeSince(listReadAt_);
-        catalog.whole = !changes.has_value();
+        catalog.isSnapshot = !changes.has_value();
         catalog.changes = changes ? std::move(*changes) : state_.directory.snapshotAsChanges();
     }
 }
@@ -74,7 +74,7 @@
 void CatalogContents::applyRoutesFromPeer(const Endpoint &peer, const Catalog &catalog)
 {
     // Parsing many routes takes long on a small VM, so routes that are not newer are not parsed.
-    if (catalog.routes.empty() || catalog.has.routes <= versions().routes) {
+    if (catalog.routes.empty() || catalog.versions.routes <= versions().routes) {
         return;
     }
     Result<std::string> text = unpackRoutes(catalog.routes);
@@ -120,15 +120,15 @@
 
 bool CatalogContents::applyListFromPeer(const Endpoint &peer, const Catalog &catalog)
 {
-    if (catalog.has.list <= versions().list) {
+    if (catalog.versions.list <= versions().list) {
         return false;
     }
     const UpdateOrigin origin{peer.value(), catalog.listAge};
-    if (!catalog.whole) {
-        return applyChanges(catalog.changes, catalog.has.list, origin);
+    if (!catalog.isSnapshot) {
+        return applyChanges(catalog.changes, catalog.versions.list, origin);
     }
     InstanceSnapshot snapshot;
-    snapshot.revision = catalog.has.list;
+    snapshot.revision = catalog.versions.list;
     for (const InstanceChange &change : catalog.changes) {
         if (change.record) {
             snapshot.records.push_back(*change.record);
@@ -192,7 +192,7 @@
     }
     bool removesReady = false;
     state_.directory.forEachReady([&](const InstanceRecord &record) {
-        const bool isRemoved = catalog.whole ? !listed.contains(record.id) : removed.contains(record.id);
+        const bool isRemoved = catalog.isSnapshot ? !listed.contains(record.id) : removed.contains(record.id);
         removesReady = removesReady || isRemoved;
     });
     return removesReady;
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -95,7 +95,7 @@
     });
     // A node that has just started makes the request wait as well: it may soon have read everything.
     const auto hasNewStoreState = [this, &request] {
-        return storeState() != request.known && (state_.directory.hasList() || plan_.ownReadsFailingSince());
+        return storeState() != request.knownState && (state_.directory.hasList() || plan_.ownReadsFailingSince());
     };
     while (!contents_.hasUpdatesFor(request.have) && !hasNewStoreState() && currentTime() < deadline) {
         boost::system::error_code ignored;
@@ -108,7 +108,7 @@
     catalog.storeAge = plan_.age(currentTime());
     catalog.storeAvailableFor = plan_.storeAvailableFor(currentTime());
     catalog.quarantine = state_.quarantine.digest();
-    catalog.held = timeSince(askedAt);
+    catalog.heldFor = timeSince(askedAt);
     contents_.writeUpdates(request.have, catalog);
     co_return catalog;
 }
@@ -268,7 +268,7 @@
 /// nobody would get no further updates.
 void CatalogController::followIfComplete(const Endpoint &peer, const Catalog &catalog)
 {
-    if (catalog.has.routes.value() > 0) {
+    if (catalog.versions.routes.value() > 0) {
         handleAnswer(peer, catalog);
     }
 }
@@ -410,7 +410,7 @@
         }
         Catalog &catalog = answer.value();
         // A VM's clock stops while the VM is suspended, so the peer's hold time may exceed the time measured here.
-        const Milliseconds travelTime = std::max(timeSince(askedAt) - catalog.held, Milliseconds{0});
+        const Milliseconds travelTime = std::max(timeSince(askedAt) - catalog.heldFor, Milliseconds{0});
         catalog.routesAge += travelTime;
         catalog.listAge += travelTime;
         catalog.storeAge += travelTime;
--- a/tests/rpc/peerrpctest.cpp
+++ b/tests/rpc/peerrpctest.cpp
@@ -161,7 +161,7 @@
         head.method = "PUT";
         head.remaining = Microseconds(700);
         head.sentAt = Microseconds(-3);
-        head.repeatable = true;
+        head.isRepeatable = true;
         head.targetUpstream = UpstreamName("i-2");
         head.callerService = ServiceName("plans");
         head.route = RouteName("read");
@@ -181,7 +181,7 @@
         CHECK(received.method == head.method);
         CHECK(received.remaining == head.remaining);
         CHECK(received.sentAt == head.sentAt);
-        CHECK(received.repeatable);
+        CHECK(received.isRepeatable);
         CHECK(received.targetUpstream == head.targetUpstream);
         CHECK(received.callerService == head.callerService);
         CHECK(received.route == head.route);
@@ -292,12 +292,12 @@
         record.state = InstanceState::Draining;
         record.warmUp = Milliseconds(300);
         record.revision = StoreRevision(8);
-        f.service.catalogAnswer.has = {RouteVersion(5), StoreRevision(9)};
+        f.service.catalogAnswer.versions = {RouteVersion(5), StoreRevision(9)};
         f.service.catalogAnswer.routes = PackedRoutes{"{routes}"};
         f.service.catalogAnswer.routesAge = Milliseconds(40);
         f.service.catalogAnswer.listAge = Milliseconds(50);
-        f.service.catalogAnswer.held = Milliseconds(30);
-        f.service.catalogAnswer.whole = true;
+        f.service.catalogAnswer.heldFor = Milliseconds(30);
+        f.service.catalogAnswer.isSnapshot = true;
         f.service.catalogAnswer.changes = {{record.id, record.revision, record},
                                            {UpstreamName("u2"), StoreRevision(9), {}}};
         f.service.catalogAnswer.store = StoreState::Recovering;
@@ -313,15 +313,15 @@
         CHECK(f.service.lastCatalogRequest.have.routes == RouteVersion(4));
         CHECK(f.service.lastCatalogRequest.have.list == StoreRevision(7));
         CHECK(f.service.lastCatalogRequest.wait == Milliseconds(20));
-        CHECK(f.service.lastCatalogRequest.known == StoreState::Unavailable);
+        CHECK(f.service.lastCatalogRequest.knownState == StoreState::Unavailable);
         const Catalog &received = catalog.value();
-        CHECK(received.has.routes == RouteVersion(5));
-        CHECK(received.has.list == StoreRevision(9));
+        CHECK(received.versions.routes == RouteVersion(5));
+        CHECK(received.versions.list == StoreRevision(9));
         CHECK(received.routes.bytes == "{routes}");
         CHECK(received.routesAge == Milliseconds(40));
         CHECK(received.listAge == Milliseconds(50));
-        CHECK(received.held == Milliseconds(30));
-        CHECK(received.whole);
+        CHECK(received.heldFor == Milliseconds(30));
+        CHECK(received.isSnapshot);
         CHECK(received.store == StoreState::Recovering);
         CHECK(received.reader == Endpoint("10.0.0.1:7620"));
         CHECK(received.storeAge == Milliseconds(60));
