--- a/tests/adapter/instanceentrytest.cpp
+++ b/tests/adapter/instanceentrytest.cpp
@@ -24,7 +24,7 @@
     return item;
 }
 
-InstancePlaces places()
+InstancePlaces layout()
 {
     return {{{ZoneName("north-a"), RegionName("north")}}, 7620};
 }
@@ -36,9 +36,9 @@
 
 }
 
-TEST_CASE("an entry becomes a record, with the node beside the upstream at its own address")
+TEST_CASE("an entry is parsed into a record whose node is at the upstream's IP address")
 {
-    const auto record = instanceFromItem(itemWith(Entry), places());
+    const auto record = instanceFromItem(itemWith(Entry), layout());
     REQUIRE(record);
     CHECK(record.value().id == UpstreamName("i-7f3a91c2"));
     CHECK(record.value().service == ServiceName("statements"));
@@ -49,13 +49,14 @@
     CHECK(record.value().state == InstanceState::Ready);
     CHECK(record.value().warmUp == Milliseconds(2500));
     CHECK(record.value().revision == StoreRevision(17));
-    const auto draining = instanceFromItem(itemWith(replaced(Entry, "\"ready\"", "\"draining\"")), places());
+    const auto draining = instanceFromItem(itemWith(replaced(Entry, "\"ready\"", "\"draining\"")), layout());
     REQUIRE(draining);
     CHECK(draining.value().state == InstanceState::Draining);
 }
 
-// Another program writes among the entries. Its bytes took the whole list down with them, and with it every service.
-TEST_CASE("entries of other writers are refused one by one")
+// Another program writes entries under the same prefix. Guards against one such entry that makes the complete instance
+// list unreadable, so that every service is unreachable.
+TEST_CASE("entries of other programs are refused one by one")
 {
     for (const std::string &text : {
              std::string(),
@@ -70,27 +71,27 @@
              replaced(Entry, "\"north-a\"", "\"\""),
          }) {
         INFO(text);
-        CHECK_FALSE(instanceFromItem(itemWith(text), places()));
+        CHECK_FALSE(instanceFromItem(itemWith(text), layout()));
     }
     StoreItem undecoded = itemWith({});
     undecoded.value.reset();
-    CHECK_FALSE(instanceFromItem(undecoded, places()));
+    CHECK_FALSE(instanceFromItem(undecoded, layout()));
 }
 
-TEST_CASE("an upstream in a zone that the settings don't name is far from all others")
+TEST_CASE("an upstream in a zone that the settings don't name is in a region of its own")
 {
-    const auto record = instanceFromItem(itemWith(replaced(Entry, "north-a", "new-zone")), places());
+    const auto record = instanceFromItem(itemWith(replaced(Entry, "north-a", "new-zone")), layout());
     REQUIRE(record);
     CHECK(record.value().location.region == RegionName("new-zone"));
 }
 
-TEST_CASE("only keys of upstreams have an id")
+TEST_CASE("only the keys of upstreams contain an instance id")
 {
     CHECK(instanceIdOf(StoreKey("servers/i-1")) == UpstreamName("i-1"));
     CHECK(instanceIdOf(StoreKey("op/config")).value().empty());
 }
 
-TEST_CASE("base64 is standard and padded, or refused")
+TEST_CASE("only standard base64 with padding is decoded")
 {
     CHECK(decodeBase64("bm9kZS0x") == std::string("node-1"));
     CHECK(decodeBase64("YQ==") == std::string("a"));
--- a/tests/adapter/platformdialecttest.cpp
+++ b/tests/adapter/platformdialecttest.cpp
@@ -19,22 +19,22 @@
 
 }
 
-TEST_CASE("a caller's id and patience are read; a patience that is no number is none")
+TEST_CASE("a caller's id and patience are read, and a patience that is not a number is ignored")
 {
     const PlatformCallerDialect dialect;
-    const auto terms = dialect.read({{"X-Egretpath-Attempt-Id", "9c41"}, {"X-Egretpath-Deadline-Ms", "2500"}});
-    REQUIRE(terms);
-    CHECK(terms.value().request == RequestId("9c41"));
-    CHECK(terms.value().patience == Milliseconds(2500));
+    const auto metadata = dialect.read({{"X-Egretpath-Attempt-Id", "9c41"}, {"X-Egretpath-Deadline-Ms", "2500"}});
+    REQUIRE(metadata);
+    CHECK(metadata.value().request == RequestId("9c41"));
+    CHECK(metadata.value().patience == Milliseconds(2500));
     for (const char *text : {"soon", "-5", "nan", ""}) {
         INFO(text);
-        const auto odd = dialect.read({{"X-Egretpath-Deadline-Ms", text}});
-        REQUIRE(odd);
-        CHECK_FALSE(odd.value().patience);
+        const auto unreadable = dialect.read({{"X-Egretpath-Deadline-Ms", text}});
+        REQUIRE(unreadable);
+        CHECK_FALSE(unreadable.value().patience);
     }
 }
 
-TEST_CASE("only a proved not-run is answered with a status that promises it")
+TEST_CASE("the status promises that a request has not run only if that is proved")
 {
     const PlatformCallerDialect dialect;
     const RequestId id("9c41");
@@ -53,8 +53,9 @@
     CHECK_FALSE(unknown.headers.contains("Retry-After"));
 }
 
-// A caller named a service of its own choice in the field that tells upstreams where a request comes from.
-TEST_CASE("what the system sets itself replaces what a caller sent")
+// Guards against a caller that sets the field with the caller's service itself, so that upstreams attribute its request
+// to another service.
+TEST_CASE("header fields that the system sets replace those that a caller sent")
 {
     const PlatformUpstreamDialect dialect;
     HttpHeaders headers{{"X-Egretpath-Caller-Service", "bank"},
@@ -70,7 +71,7 @@
     CHECK(headers.find("X-Egretpath-Attempt-Id") == std::string_view("9c41"));
 }
 
-TEST_CASE("an upstream's remarks are read from its answer")
+TEST_CASE("the metadata of an upstream's answer is read from its header fields")
 {
     const PlatformUpstreamDialect dialect;
     const UpstreamAnswerMetadata good = dialect.read(answerWith(200,
@@ -93,9 +94,10 @@
     CHECK(dialect.read(answerWith(500, {})).isComplete);
 }
 
-// A proxy in between compresses an answer, or something else listens at the address: a success without the upstream's
-// own digest must not reach a caller as one.
-TEST_CASE("a success that does not bear the upstream's digest is not whole")
+// Guards against a success that the upstream did not send in this form: a proxy on the way compressed the answer, or
+// another program listens at the address. Such an answer lacks the upstream's digest and must not reach a caller as a
+// success.
+TEST_CASE("a success without the upstream's digest is not complete")
 {
     const PlatformUpstreamDialect dialect;
     CHECK_FALSE(dialect.read(answerWith(200, {})).isComplete);
--- a/tests/adapter/publishedroutestest.cpp
+++ b/tests/adapter/publishedroutestest.cpp
@@ -28,7 +28,7 @@
 
 }
 
-TEST_CASE("published routes become typed ones")
+TEST_CASE("published routes are parsed into a route table")
 {
     const auto table = routesFromJson(Config);
     REQUIRE(table);
@@ -54,7 +54,7 @@
     CHECK(service->maxConnections == 220);
 }
 
-TEST_CASE("a kind that is not known is taken for the most careful one, and what is left out has a default")
+TEST_CASE("an unknown kind counts as unsafe, and omitted fields have defaults")
 {
     const auto table = routesFromJson(Config);
     REQUIRE(table);
@@ -65,7 +65,7 @@
     CHECK(bare->timeout > Milliseconds(10'000));
 }
 
-TEST_CASE("routes that can't be read are refused whole, with what is wrong")
+TEST_CASE("routes that can't be read are refused as a whole, and the detail names the fault")
 {
     CHECK_FALSE(routesFromJson("nonsense"));
     CHECK_FALSE(routesFromJson("[]"));
@@ -74,7 +74,7 @@
     CHECK_FALSE(routesFromJson(replaced(Config, "0000001c", "00000000")));
     const auto badTime = routesFromJson(replaced(Config, "1.2s", "1.2h"));
     REQUIRE_FALSE(badTime);
-    CHECK(badTime.error().detail.find("timeout is no time: 1.2h") != std::string::npos);
+    CHECK(badTime.error().detail.find("timeout is not a duration: 1.2h") != std::string::npos);
     CHECK_FALSE(routesFromJson(replaced(Config, "\"service\":\"plans\"", "\"service\":7")));
     CHECK_FALSE(routesFromJson(replaced(Config,
                                         R"([{"service":"old","weight":90},)"
--- a/tests/adapter/storewatchertest.cpp
+++ b/tests/adapter/storewatchertest.cpp
@@ -26,12 +26,12 @@
     return R"({"version":")" + version + R"(","listeners":[],"clusters":[]})";
 }
 
-/// As many bytes as some 1,400 routes take.
+/// A text of the size of some 1,400 routes.
 std::string largeRoutesText(int version)
 {
-    constexpr std::size_t Size = 246'000;
+    constexpr std::size_t PaddingSize = 246'000;
     std::ostringstream text;
-    text << R"({"version":")" << std::hex << version << R"(","unused":")" << std::string(Size, 'x')
+    text << R"({"version":")" << std::hex << version << R"(","unused":")" << std::string(PaddingSize, 'x')
          << R"(","listeners":[],"clusters":[]})";
     return text.str();
 }
@@ -42,40 +42,40 @@
         + R"("})";
 }
 
-constexpr Milliseconds LongestPause{700};
+constexpr Milliseconds MaxInterval{700};
 
-/// Remembers what a watcher told.
+/// Records what a watcher reports.
 class RecordingSink final : public CatalogSink
 {
 public:
     void onRoutesRead(PublishedRoutes routes) override { version = routes.table->version(); }
     void onListRead(const InstanceSnapshot &snapshot) override
     {
-        ++lists;
+        ++listReads;
         listed = snapshot.records.size();
     }
     void onChangesRead(const std::vector<InstanceChange> &changes, StoreRevision /*reached*/) override
     {
         for (const InstanceChange &change : changes) {
-            changed.push_back(change.id.value());
+            changedIds.push_back(change.id.value());
         }
     }
-    void onSourceLost(std::string_view /*why*/) override { lost = true; }
-    void onSourceRestored() override { lost = false; }
-    void onEntryRefused(std::string_view key, std::string_view /*why*/) override { refused.emplace_back(key); }
+    void onSourceLost(std::string_view /*reason*/) override { isLost = true; }
+    void onSourceRestored() override { isLost = false; }
+    void onEntryRefused(std::string_view key, std::string_view /*reason*/) override { refusedKeys.emplace_back(key); }
     void onStoreCalled(std::string_view /*call*/, std::string_view outcome) override { ++calls[std::string(outcome)]; }
 
     RouteVersion version;
     std::size_t listed = 0;
-    int lists = 0;
-    std::vector<std::string> changed;
-    std::vector<std::string> refused;
-    /// By outcome.
+    int listReads = 0;
+    std::vector<std::string> changedIds;
+    std::vector<std::string> refusedKeys;
+    /// The number of calls for each outcome.
     std::map<std::string, int> calls;
-    bool lost = false;
+    bool isLost = false;
 };
 
-/// A store, the way to it, and a watcher.
+/// A stand-in store, a relay in front of it, and a watcher that reads through the relay.
 class Fixture
 {
 public:
@@ -83,15 +83,15 @@
         : store(context.get_executor())
         , server(context.get_executor(), HttpLimits(),
                  [this](HttpExchange &exchange) { return store.handle(exchange); })
-        , way(context.get_executor(), *toTcpEndpoint(server.listen(Endpoint("127.0.0.1:0")).value()))
-        , watcher(context.get_executor(), way.listen(*toTcpEndpoint(Endpoint("127.0.0.1:0"))),
+        , relay(context.get_executor(), *toTcpEndpoint(server.listen(Endpoint("127.0.0.1:0")).value()))
+        , watcher(context.get_executor(), relay.listen(*toTcpEndpoint(Endpoint("127.0.0.1:0"))),
                   Platform::InstancePlaces{{}, 7620}, Random(1))
     {
         watcher.attach(sink);
     }
 
-    /// Runs until @p condition holds; false if that takes longer than any of it should.
-    bool until(const std::function<bool()> &condition, Milliseconds limit = Milliseconds(5000))
+    /// Runs until @p condition holds. Returns false if it does not hold within @p limit.
+    bool runUntil(const std::function<bool()> &condition, Milliseconds limit = Milliseconds(5000))
     {
         const TimePoint end = std::chrono::steady_clock::now() + limit;
         while (!condition() && std::chrono::steady_clock::now() < end) {
@@ -104,13 +104,13 @@
     RecordingSink sink;
     StandinStore store;
     HttpServer server;
-    StandinRelay way;
+    StandinRelay relay;
     Platform::StoreWatcher watcher;
 };
 
 }
 
-TEST_CASE("a watcher reads everything in pages, and then what changes")
+TEST_CASE("a watcher reads all items in pages, and then the changes")
 {
     Fixture fixture;
     fixture.store.put("op/config", routesText("05"));
@@ -118,100 +118,102 @@
         fixture.store.put("servers/i-" + std::to_string(number), entryText("ready"));
     }
     fixture.store.put("servers/i-bad", "{");
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.sink.listed == 12 && fixture.sink.version == RouteVersion(5); }));
-    CHECK(fixture.sink.refused == std::vector<std::string>{"servers/i-bad"});
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.sink.listed == 12 && fixture.sink.version == RouteVersion(5); }));
+    CHECK(fixture.sink.refusedKeys == std::vector<std::string>{"servers/i-bad"});
     fixture.store.put("op/config", routesText("0a"));
     fixture.store.remove("servers/i-3");
-    CHECK(fixture.until([&] { return fixture.sink.version == RouteVersion(10) && !fixture.sink.changed.empty(); }));
-    CHECK(fixture.sink.changed == std::vector<std::string>{"i-3"});
-    CHECK_FALSE(fixture.sink.lost);
+    CHECK(
+        fixture.runUntil([&] { return fixture.sink.version == RouteVersion(10) && !fixture.sink.changedIds.empty(); }));
+    CHECK(fixture.sink.changedIds == std::vector<std::string>{"i-3"});
+    CHECK_FALSE(fixture.sink.isLost);
 }
 
-TEST_CASE("a watcher whose history is gone reads everything anew")
+TEST_CASE("a watcher reads all items again when the store no longer has the history")
 {
     Fixture fixture;
     fixture.store.put("servers/i-1", entryText("ready"));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.sink.lists == 1; }));
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.sink.listReads == 1; }));
     fixture.store.put("servers/i-2", entryText("ready"));
     fixture.store.compact();
-    CHECK(fixture.until([&] { return fixture.sink.lists == 2; }));
+    CHECK(fixture.runUntil([&] { return fixture.sink.listReads == 2; }));
     CHECK(fixture.sink.listed == 2);
 }
 
-// The store turns all nodes away for eight seconds. Each asked it again and again for routes and for the list, and on a
-// small fleet these calls cost more than all others of the day.
-TEST_CASE("while the store is lost, a watcher asks for one thing only, and for all when it is back")
+// The store rejects the calls of all nodes for eight seconds. Guards against nodes that keep calling it for routes and
+// for the list: on a small fleet these calls cost more than all others of the day.
+TEST_CASE("while the store is lost, only one of the watches calls it, and both continue when it answers again")
 {
     Fixture fixture;
     fixture.store.put("op/config", routesText("05"));
     fixture.store.put("servers/i-1", entryText("ready"));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.sink.lists == 1 && fixture.sink.version == RouteVersion(5); }));
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.sink.listReads == 1 && fixture.sink.version == RouteVersion(5); }));
     fixture.store.setMode(StoreMode::Busy);
     fixture.store.put("op/config", routesText("06"));
     fixture.store.put("servers/i-2", entryText("ready"));
-    CHECK(fixture.until([&] { return fixture.sink.lost; }));
+    CHECK(fixture.runUntil([&] { return fixture.sink.isLost; }));
     const std::uint64_t calls = fixture.store.calls();
     fixture.context.run_for(Milliseconds(3000));
-    // Pauses of 60 ms, doubled up to 700, of which at least half is waited.
+    // The pauses start at 60 ms and double up to 700 ms. Each lasts at least half of that.
     CHECK(fixture.store.calls() - calls <= 13);
     CHECK(fixture.sink.calls["turned-away"] > 0);
     fixture.store.setMode(StoreMode::Up);
-    CHECK(fixture.until([&] { return !fixture.sink.lost && fixture.sink.version == RouteVersion(6); }));
-    CHECK(fixture.until([&] { return fixture.sink.changed == std::vector<std::string>{"i-2"}; }));
+    CHECK(fixture.runUntil([&] { return !fixture.sink.isLost && fixture.sink.version == RouteVersion(6); }));
+    CHECK(fixture.runUntil([&] { return fixture.sink.changedIds == std::vector<std::string>{"i-2"}; }));
 }
 
-// Routes change while one node's way to the store is cut. It reads for a region, both its watches wait, and nothing
-// tells it that they wait in vain: it goes on to say that there is no news, and its followers serve by the old routes.
-TEST_CASE("a watcher notices within a second or so that its way to the store is cut")
+// Routes change while the link between one node and the store is cut. The node is the reader of its region, and both
+// its watches wait without an error. Guards against a reader that goes on to report that there is no update, so that
+// its followers use the old routes.
+TEST_CASE("a watcher notices within about a second that its link to the store is cut")
 {
     Fixture fixture;
     fixture.store.put("op/config", routesText("05"));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.sink.version == RouteVersion(5); }));
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.sink.version == RouteVersion(5); }));
     RelayConditions cut;
     cut.partitioned = true;
-    fixture.way.setConditions(cut);
-    CHECK(fixture.until([&] { return fixture.sink.lost; }));
-    fixture.way.setConditions(RelayConditions());
+    fixture.relay.setConditions(cut);
+    CHECK(fixture.runUntil([&] { return fixture.sink.isLost; }));
+    fixture.relay.setConditions(RelayConditions());
     fixture.store.put("op/config", routesText("06"));
-    CHECK(fixture.until([&] { return !fixture.sink.lost && fixture.sink.version == RouteVersion(6); }));
+    CHECK(fixture.runUntil([&] { return !fixture.sink.isLost && fixture.sink.version == RouteVersion(6); }));
 }
 
-TEST_CASE("a watcher that is suspended makes no calls, and goes on where others have come to")
+TEST_CASE("a suspended watcher makes no calls, and resumes at the revision that other nodes have reached")
 {
     Fixture fixture;
     fixture.store.put("servers/i-1", entryText("ready"));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.sink.lists == 1; }));
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.sink.listReads == 1; }));
     fixture.watcher.suspend();
     const std::uint64_t calls = fixture.store.calls();
     fixture.store.put("servers/i-2", entryText("ready"));
     fixture.store.put("servers/i-3", entryText("ready"));
     fixture.context.run_for(Milliseconds(700));
     CHECK(fixture.store.calls() == calls);
-    CHECK(fixture.sink.changed.empty());
-    // Another node told of the change with revision 3; the one with 4 is still to be read.
-    fixture.watcher.resume(StoreRevision(3), false, LongestPause);
-    CHECK(fixture.until([&] { return !fixture.sink.changed.empty(); }));
-    CHECK(fixture.sink.changed == std::vector<std::string>{"i-3"});
+    CHECK(fixture.sink.changedIds.empty());
+    // Another node has reported the change with revision 3. The change with revision 4 is still to be read.
+    fixture.watcher.resume(StoreRevision(3), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return !fixture.sink.changedIds.empty(); }));
+    CHECK(fixture.sink.changedIds == std::vector<std::string>{"i-3"});
 }
 
-// The store is away, silently, and while it is, a follower begins to read for itself. The opening packet of its
-// connection is lost and sent again after many seconds only, so that the node is on old routes long after the store is
-// back. The first watches have to give up soon; the long ones come when the store has answered.
-TEST_CASE("a watcher that begins to read waits only a moment at first")
+// The store is silent when a follower starts to read for itself. The first packet of its connection is lost and is sent
+// again after many seconds only. Guards against a node that uses old routes long after the store answers again: the
+// first watches must time out soon, and long ones follow once the store has answered.
+TEST_CASE("the first watches of a watcher that starts to read are short")
 {
     Fixture fixture;
     fixture.store.put("op/config", routesText("05"));
     fixture.store.put("servers/i-1", entryText("ready"));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.sink.lists == 1 && fixture.sink.version == RouteVersion(5); }));
-    CHECK(fixture.until([&] { return fixture.store.waits().size() == 2; }));
-    fixture.watcher.resume(StoreRevision(3), false, LongestPause);
-    CHECK(fixture.until([&] { return fixture.store.waits().size() == 6; }));
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.sink.listReads == 1 && fixture.sink.version == RouteVersion(5); }));
+    CHECK(fixture.runUntil([&] { return fixture.store.waits().size() == 2; }));
+    fixture.watcher.resume(StoreRevision(3), false, MaxInterval);
+    CHECK(fixture.runUntil([&] { return fixture.store.waits().size() == 6; }));
     const std::vector<std::uint64_t> &waits = fixture.store.waits();
     CHECK(waits[2] < 1000);
     CHECK(waits[3] < 1000);
@@ -219,50 +221,51 @@
     CHECK(waits[5] > 10'000);
 }
 
-// Guards against a reader on a link of little bandwidth that falls behind further with each version of a large table.
-TEST_CASE("versions of many routes in quick succession do not hold up the newest one")
+// Guards against a reader on a link of little bandwidth that falls behind further with each version of a large route
+// table.
+TEST_CASE("versions of many routes in quick succession do not delay the newest one")
 {
     constexpr std::uint64_t TenMegabits = 1'250'000;
-    constexpr Milliseconds BetweenVersions{50};
-    constexpr Milliseconds InForceWithin{2000};
+    constexpr Milliseconds VersionInterval{50};
+    constexpr Milliseconds MaxDelay{2000};
     constexpr int FirstVersion = 0x10;
     constexpr int LastVersion = FirstVersion + 40;
     Fixture fixture;
     RelayConditions conditions;
     conditions.bytesPerSecond = TenMegabits;
-    fixture.way.setConditions(conditions);
+    fixture.relay.setConditions(conditions);
     fixture.store.put("op/config", largeRoutesText(FirstVersion));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    REQUIRE(fixture.until([&] { return fixture.sink.version == RouteVersion(FirstVersion); }));
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    REQUIRE(fixture.runUntil([&] { return fixture.sink.version == RouteVersion(FirstVersion); }));
     for (int version = FirstVersion + 1; version <= LastVersion; ++version) {
         fixture.store.put("op/config", largeRoutesText(version));
-        fixture.context.run_for(BetweenVersions);
+        fixture.context.run_for(VersionInterval);
     }
-    CHECK(fixture.until([&] { return fixture.sink.version == RouteVersion(LastVersion); }, InForceWithin));
-    CHECK_FALSE(fixture.sink.lost);
+    CHECK(fixture.runUntil([&] { return fixture.sink.version == RouteVersion(LastVersion); }, MaxDelay));
+    CHECK_FALSE(fixture.sink.isLost);
 }
 
-// Guards against a reader that is on old routes for seconds after the store's return, since its call hangs on a
-// connection that was begun while the store was silent.
-TEST_CASE("a watcher finds soon that a silent store is back")
+// Guards against a reader that uses old routes for seconds after the store answers again, since its call hangs on a
+// connection that was opened while the store was silent.
+TEST_CASE("a watcher soon notices that a silent store answers again")
 {
-    constexpr int Times = 3;
-    constexpr Milliseconds SilentFor{2400};
-    constexpr Milliseconds FoundWithin{1600};
+    constexpr int Repeats = 3;
+    constexpr Milliseconds SilentTime{2400};
+    constexpr Milliseconds MaxDelay{1600};
     Fixture fixture;
     fixture.store.put("op/config", routesText("05"));
-    fixture.watcher.resume(StoreRevision(), false, LongestPause);
-    REQUIRE(fixture.until([&] { return fixture.sink.version == RouteVersion(5); }));
-    for (int time = 0; time < Times; ++time) {
+    fixture.watcher.resume(StoreRevision(), false, MaxInterval);
+    REQUIRE(fixture.runUntil([&] { return fixture.sink.version == RouteVersion(5); }));
+    for (int time = 0; time < Repeats; ++time) {
         RelayConditions cut;
         cut.partitioned = true;
-        fixture.way.setConditions(cut);
-        REQUIRE(fixture.until([&] { return fixture.sink.lost; }));
-        fixture.context.run_for(SilentFor);
-        fixture.way.silenceOpen();
-        fixture.way.setConditions(RelayConditions());
+        fixture.relay.setConditions(cut);
+        REQUIRE(fixture.runUntil([&] { return fixture.sink.isLost; }));
+        fixture.context.run_for(SilentTime);
+        fixture.relay.silenceOpen();
+        fixture.relay.setConditions(RelayConditions());
         const RouteVersion next(6 + static_cast<std::uint64_t>(time));
         fixture.store.put("op/config", routesText("0" + std::to_string(next.value())));
-        CHECK(fixture.until([&] { return !fixture.sink.lost && fixture.sink.version == next; }, FoundWithin));
+        CHECK(fixture.runUntil([&] { return !fixture.sink.isLost && fixture.sink.version == next; }, MaxDelay));
     }
 }
