--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -10,63 +10,65 @@
 namespace
 {
 
-/// More than ever waits, or is waited for.
+/// Larger than every backlog and every wait that occurs.
 constexpr double Unlimited = 1000.0;
 
 constexpr std::array Mechanisms{
-    Mechanism{"spell-end", "work begins after a slow spell of its VM",
+    Mechanism{"spell-end", "work starts after a slow period of its VM if that is quicker",
               [](DecisionSettings &decisions) { decisions.queue.waitsForSlowPeriodEnd = false; }},
-    Mechanism{"compression", "what crosses regions is compressed",
+    Mechanism{"compression", "traffic between regions is compressed",
               [](DecisionSettings &decisions) { decisions.compressesPaidLinks = false; }},
-    Mechanism{"link-price", "bytes on paid links count against a choice",
+    Mechanism{"link-price", "bytes on paid links count against an upstream",
               [](DecisionSettings &decisions) {
                   decisions.ingress.placement.prices = {0.0, 0.0};
               }},
-    Mechanism{"declining", "a node may send a request on to a quicker upstream",
+    Mechanism{"declining", "a node may decline a request that another upstream can answer faster",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.maxQueries = 0; }},
-    Mechanism{"comfortable-fill", "upstreams are kept below the fill at which they slow themselves",
+    Mechanism{"comfortable-fill", "upstreams are kept below the fill at which they become slower",
               [](DecisionSettings &decisions) { decisions.queue.maxFill = 1.0; }},
-    Mechanism{"jitter", "nodes with the same old news don't all choose the same upstream",
+    Mechanism{"jitter", "nodes with the same old load reports don't all choose the same upstream",
               [](DecisionSettings &decisions) { decisions.ingress.placement.jitter = 0.0; }},
     Mechanism{"warm-up", "upstreams that have just started count as slow",
               [](DecisionSettings &decisions) { decisions.ingress.placement.warmUpFactor = 1.0; }},
-    Mechanism{"failure-penalty", "failures seen here count against an upstream",
+    Mechanism{"failure-penalty", "failures seen by the node itself count against an upstream",
               [](DecisionSettings &decisions) { decisions.ingress.view.failurePenalty = 0.0; }},
-    Mechanism{"failure-share", "failures that its node tells of count against an upstream",
+    Mechanism{"failure-share", "failures that an upstream's node reports count against the upstream",
               [](DecisionSettings &decisions) {
                   decisions.ingress.view.failureShareFactor = 0.0;
                   decisions.queue.failureFactor = 0.0;
               }},
-    Mechanism{"dependents", "callers of little patience go first, since a late answer is none to them",
+    Mechanism{"dependents", "callers with little patience go first, since a late answer is useless to them",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.dependentPatienceFactor = 0; }},
-    Mechanism{"delay", "the delay on the way to a node counts",
+    Mechanism{"delay", "the network delay to a node counts",
               [](DecisionSettings &decisions) { decisions.ingress.view.countsDelay = false; }},
-    Mechanism{"ask-before-bodies", "large bodies are sent only when they will be taken",
+    Mechanism{"ask-before-bodies", "large bodies are sent only after a dry run was accepted",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.maxBodyWithoutDryRun = SIZE_MAX; }},
-    Mechanism{"typical-load", "upstreams of which nothing is known count as typical",
+    Mechanism{"typical-load", "upstreams without a load report count as typical",
               [](DecisionSettings &decisions) { decisions.ingress.view.assumesTypical = false; }},
-    Mechanism{"shut-unreachable", "upstreams whose nodes can't be reached are left alone",
+    Mechanism{"shut-unreachable", "upstreams whose nodes can't be reached get no requests for a while",
               [](DecisionSettings &decisions) { decisions.ingress.view.baseUnreachableHold = Duration{0}; }},
-    Mechanism{"repeat-margin", "nodes use a part only of the shared allowance of repeats",
+    Mechanism{"repeat-margin", "nodes use only a part of the common retry limit",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.usedRetryShare = 1.0; }},
-    Mechanism{"return-spread", "callers that were refused together return apart",
+    Mechanism{"return-spread", "callers that were refused together retry at different times",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.retryAfterSpread = 0.0; }},
-    Mechanism{"late-backlog", "few requests that can't be in time may wait",
+    Mechanism{"late-backlog", "only few requests that can't be in time may wait",
               [](DecisionSettings &decisions) {
                   decisions.queue.maxLateBacklog = Unlimited;
                   decisions.queue.maxLateWait = Unlimited;
               }},
-    Mechanism{"queue-order", "requests that can still be in time begin first, by rank",
+    Mechanism{"queue-order", "requests that can still be in time start first, by priority",
               [](DecisionSettings &decisions) { decisions.queue.ordersByUrgency = false; }},
     Mechanism{"readers", "few nodes read the store, the others follow them",
               [](DecisionSettings &decisions) { decisions.readers.nodesPerReader = 1; }},
-    Mechanism{"gathering", "readers gather changes",
+    Mechanism{"gathering", "readers read several changes with one call",
               [](DecisionSettings &decisions) { decisions.catalog.gatherTime = Milliseconds{0}; }},
-    Mechanism{"patience-with-store", "peers are asked only when the store is away for a while",
+    Mechanism{"patience-with-store", "peers are queried only when the store has been unavailable for a while",
               [](DecisionSettings &decisions) { decisions.catalog.storeLossTolerance = Milliseconds{0}; }},
-    Mechanism{"companions-apart", "requests that an upstream broke off with are not tried together again",
+    Mechanism{"companions-apart",
+              "requests that were running when the same upstream disconnected are not run together again",
               [](DecisionSettings &decisions) { decisions.queue.separatesCoSuspects = false; }},
-    Mechanism{"upstream-account", "requests that an upstream has lost end, its other work takes slots",
+    Mechanism{"upstream-account",
+              "requests that an upstream has lost are ended, and its requests from elsewhere take slots",
               [](DecisionSettings &decisions) { decisions.keepsUpstreamAccount = false; }},
 };
 
--- a/bench/ablation/ablation.h
+++ b/bench/ablation/ablation.h
@@ -8,7 +8,7 @@
 namespace Egretpath
 {
 
-/// One mechanism of a node's decisions, and how a node decides without it.
+/// One mechanism of a node's decisions, and the function that switches it off.
 struct Mechanism
 {
     std::string_view name;
@@ -16,9 +16,9 @@
     void (*switchOff)(DecisionSettings &decisions);
 };
 
-/// All mechanisms that can be switched off. Thread safety: safe.
+/// Returns all mechanisms that can be switched off. Thread safety: safe.
 [[nodiscard]] std::span<const Mechanism> mechanisms();
-/// Null for a name that is none. Thread safety: safe.
+/// Returns the mechanism called @p name; null if there is none. Thread safety: safe.
 [[nodiscard]] const Mechanism *findMechanism(std::string_view name);
 
 }
--- a/bench/ablation/trialnode.cpp
+++ b/bench/ablation/trialnode.cpp
@@ -1,4 +1,4 @@
-// A node that decides without one mechanism; for experiments only.
+// A node whose decisions lack one mechanism, for experiments only.
 
 #include <iostream>
 #include <string>
@@ -24,7 +24,7 @@
 {
     const Mechanism *mechanism = findMechanism(name);
     if (mechanism == nullptr) {
-        throw CLI::ValidationError("--without", "no mechanism is called " + name + "; --list names them");
+        throw CLI::ValidationError("--without", "unknown mechanism " + name + "; --list prints all names");
     }
     mechanism->switchOff(decisions);
 }
@@ -34,15 +34,16 @@
 int main(int argc, char **argv)
 {
     DecisionSettings decisions;
-    CLI::App app{"A node of egretpath that decides without one of its mechanisms."};
+    CLI::App app{"A node of egretpath whose decisions lack one of their mechanisms."};
     app.add_option_function<std::string>(
-        "--without", [&decisions](const std::string &name) { switchOff(name, decisions); }, "a mechanism's name");
+        "--without", [&decisions](const std::string &name) { switchOff(name, decisions); },
+        "the name of the mechanism to switch off");
     app.add_flag_callback(
         "--list",
         [] {
             printMechanisms();
             throw CLI::Success();
         },
-        "names all mechanisms");
+        "prints all mechanisms");
     return runSidecarProgram(app, argc, argv, decisions);
 }
--- a/bench/cost/decisions.cpp
+++ b/bench/cost/decisions.cpp
@@ -25,13 +25,13 @@
     return report;
 }
 
-/// Candidates spread over three regions of two zones, each with a report.
-struct World
+/// Candidates in three regions of two zones each. There is a load report of each candidate.
+struct Fleet
 {
     std::vector<PlacementCandidate> candidates;
     PlacementView view;
 
-    explicit World(std::size_t count)
+    explicit Fleet(std::size_t count)
     {
         for (std::size_t index = 0; index < count; ++index) {
             const std::size_t zone = index % Zones;
@@ -44,16 +44,16 @@
 
 void chooseUpstream(benchmark::State &state)
 {
-    World world(static_cast<std::size_t>(state.range(0)));
-    Placement placement({RegionName{"region-0"}, ZoneName{"0"}}, world.view, Random{1});
+    Fleet fleet(static_cast<std::size_t>(state.range(0)));
+    Placement placement({RegionName{"region-0"}, ZoneName{"0"}}, fleet.view, Random{1});
     PlacementRequest request;
-    request.candidates = world.candidates;
+    request.candidates = fleet.candidates;
     request.demand.baselineTime = Milliseconds{100};
     request.targetLeft = Milliseconds{300};
     request.bodies = Bytes(1000);
     request.now = Start + Milliseconds{1};
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
         benchmark::DoNotOptimize(placement.choose(request));
     }
 }
@@ -72,14 +72,14 @@
 {
     WorkQueue queue;
     (void)queue.setSlots(static_cast<std::uint32_t>(state.range(0)), Start);
-    std::uint64_t next = 0;
+    std::uint64_t nextCall = 0;
     while (queue.running() + 1 < queue.limit()) {
-        benchmark::DoNotOptimize(queue.offer(offerOf(next++), Start));
+        benchmark::DoNotOptimize(queue.offer(offerOf(nextCall++), Start));
     }
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
-        const CallId call{next};
-        benchmark::DoNotOptimize(queue.offer(offerOf(next++), Start));
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
+        const CallId call{nextCall};
+        benchmark::DoNotOptimize(queue.offer(offerOf(nextCall++), Start));
         benchmark::DoNotOptimize(queue.finish(call, true, Start + Milliseconds{5}));
         benchmark::DoNotOptimize(queue.report(Route, Start + Milliseconds{5}));
     }
--- a/bench/node/catalogbench.cpp
+++ b/bench/node/catalogbench.cpp
@@ -1,4 +1,4 @@
-// What one change of the list of upstreams costs a node, by the size of the fleet.
+// Processor time that one change of the instance list costs a node, by the size of the fleet.
 
 #include <string>
 
@@ -44,15 +44,15 @@
     return directory;
 }
 
-/// A change comes in, the index is built for the next request, and the readers are ranked anew.
+/// A change arrives, the index is built for the next request, and the readers are ranked again.
 void oneChange(benchmark::State &state)
 {
     const int size = static_cast<int>(state.range(0));
     InstanceDirectory directory = fleetOf(size);
     ReaderElection election(RegionName("region-0"));
     std::uint64_t revision = 1;
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
         const InstanceRecord record = recordOf(static_cast<int>(++revision) % size, revision);
         directory.applyChange({record.id, record.revision, record}, Start);
         benchmark::DoNotOptimize(directory.ready(record.service).size());
@@ -60,12 +60,12 @@
     }
 }
 
-/// What a reader puts together for a follower that lacks one change.
+/// A reader builds the answer for a follower that lacks one change.
 void oneAnswer(benchmark::State &state)
 {
     const InstanceDirectory directory = fleetOf(static_cast<int>(state.range(0)));
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
         benchmark::DoNotOptimize(directory.changesSince(StoreRevision(1)));
     }
 }
--- a/bench/node/idleconnections.cpp
+++ b/bench/node/idleconnections.cpp
@@ -1,7 +1,7 @@
-// Holds connections open to one HTTP server: idle-connections ADDRESS:PORT COUNT PATH
+// Keeps connections to one HTTP server open: idle-connections ADDRESS:PORT COUNT PATH
 //
-// One request is sent on each, so that the server has made what a caller's connection needs; then they stay idle.
-// Prints `open COUNT` and ends when its standard input does.
+// One request is sent on each connection, so that the server allocates what a caller's connection needs. Then the
+// connections stay idle. Prints `open COUNT` and exits at the end of its standard input.
 #include <cstdint>
 #include <cstdlib>
 #include <iostream>
--- a/bench/node/rpcbench.cpp
+++ b/bench/node/rpcbench.cpp
@@ -1,4 +1,4 @@
-// What one call between nodes and one decision's log line cost in processor time.
+// Processor time of one call between nodes and of one decision's log line.
 
 #include <memory>
 #include <string>
@@ -22,10 +22,10 @@
 namespace asio = boost::asio;
 
 const Endpoint ServerEndpoint("127.0.0.1:24713");
-constexpr std::size_t ConnectionCap = 4;
+constexpr std::size_t MaxConnections = 4;
 constexpr std::uint64_t NoLimit = 1'000'000'000;
 
-/// Answers each call at once with the body it got.
+/// Answers each call at once with the body of the call.
 class EchoService final : public PeerService
 {
 public:
@@ -44,7 +44,7 @@
     }
     PeerProbe probe() override { return {identity(), {}}; }
     asio::awaitable<Catalog> catalog(CatalogRequest /*request*/) override { co_return Catalog(); }
-    QuarantineUpdate quarantine(const QuarantineUpdate & /*news*/) override { return {}; }
+    QuarantineUpdate quarantine(const QuarantineUpdate & /*update*/) override { return {}; }
 };
 
 CallHead typicalHead()
@@ -60,11 +60,11 @@
     return head;
 }
 
-asio::awaitable<void> callOften(PeerClient &client, std::size_t bodyBytes, benchmark::State &state)
+asio::awaitable<void> repeatCalls(PeerClient &client, std::size_t bodyBytes, benchmark::State &state)
 {
     const PeerClient::SendPermit always = [](CallHead &) { return true; };
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
         auto cancellation = std::make_shared<Cancellation>();
         const TimePoint deadline = std::chrono::steady_clock::now() + std::chrono::seconds(5);
         const auto outcome = co_await client.call(ServerEndpoint, typicalHead(), std::string(bodyBytes, 'x'), nullptr,
@@ -76,27 +76,27 @@
     }
 }
 
-asio::awaitable<void> askOften(PeerClient &client, benchmark::State &state)
+asio::awaitable<void> repeatQueries(PeerClient &client, benchmark::State &state)
 {
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
         const TimePoint deadline = std::chrono::steady_clock::now() + std::chrono::seconds(5);
         const auto catalog = co_await client.catalog(ServerEndpoint, CatalogRequest(), deadline);
         if (!catalog) {
-            state.SkipWithError("a question failed");
+            state.SkipWithError("a query failed");
             break;
         }
     }
 }
 
-/// Runs what @p work does with a client, against a server on the same thread: the processor time is that of both ends,
-/// sockets included. Returns the bytes of both directions.
+/// Runs @p work with a client, against a server on the same thread. The measured processor time is that of both ends,
+/// including the sockets. Returns the bytes of both directions.
 template<typename Work>
 std::uint64_t runBetweenNodes(const Work &work)
 {
     AsioEventPort port;
     EchoService service;
-    PeerServer server(port.context(), service, ConnectionCap);
+    PeerServer server(port.context(), service, MaxConnections);
     server.listen(ServerEndpoint);
     PeerClient client(port.context());
     asio::co_spawn(port.context(), work(client), [&port](std::exception_ptr) { port.context().stop(); });
@@ -107,13 +107,13 @@
 void callBetweenNodes(benchmark::State &state)
 {
     const auto bodyBytes = static_cast<std::size_t>(state.range(0));
-    runBetweenNodes([&](PeerClient &client) { return callOften(client, bodyBytes, state); });
+    runBetweenNodes([&](PeerClient &client) { return repeatCalls(client, bodyBytes, state); });
 }
 
-/// A follower's question when there is nothing new; `bytes` are those of one.
+/// A follower's query while there is no update. The counter `bytes` is the size of one query with its answer.
 void quietQuestion(benchmark::State &state)
 {
-    const std::uint64_t bytes = runBetweenNodes([&](PeerClient &client) { return askOften(client, state); });
+    const std::uint64_t bytes = runBetweenNodes([&](PeerClient &client) { return repeatQueries(client, state); });
     state.counters["bytes"] = static_cast<double>(bytes) / static_cast<double>(state.iterations());
 }
 
@@ -123,8 +123,8 @@
     settings.file = "/dev/null";
     settings.decisionsPerSecond = static_cast<std::uint64_t>(state.range(0));
     EventLog log(settings);
-    for (auto step : state) {
-        benchmark::DoNotOptimize(step);
+    for (auto iteration : state) {
+        benchmark::DoNotOptimize(iteration);
         if (log.admitsDecision(std::chrono::steady_clock::now(), DecisionWeight::Failure)) {
             StructuredLine line("route");
             line.add("request", "statements-1-17144512032731968161-306").add("try", std::uint64_t{1});
@@ -137,7 +137,7 @@
 
 BENCHMARK(callBetweenNodes)->Arg(200)->Arg(16'000)->Unit(benchmark::kMicrosecond);
 BENCHMARK(quietQuestion)->Unit(benchmark::kMicrosecond);
-// A limit of zero shows what a dropped line costs.
+// The limit of zero shows the cost of a dropped line.
 BENCHMARK(decisionLine)->Arg(NoLimit)->Arg(0)->Unit(benchmark::kNanosecond);
 
 }
--- a/bench/replay/main.cpp
+++ b/bench/replay/main.cpp
@@ -1,4 +1,4 @@
-// Plays loads against the node's decisions and the plain rules, in virtual time, and prints a table of figures.
+// Replays loads against the node's decisions and the plain rules in virtual time, and prints a table of the results.
 
 #include <algorithm>
 #include <cstdio>
@@ -23,11 +23,12 @@
     double burst;
 };
 
-/// Of the six upstreams' capacity, with VMs slow as they are, about .5, then .5 with 5 s of twice that, and 1.1.
+/// Shares of the capacity that the six upstreams have with VMs that are sometimes slow: about .5, then .5 with 5 s of
+/// twice that, and 1.1.
 constexpr NamedLoad Loads[] = {{"calm", 110, 1.0}, {"burst", 110, 2.0}, {"overload", 240, 1.0}};
 
-/// Least, median and most over the seeds.
-std::string spread(std::vector<double> values)
+/// Returns minimum, median and maximum over the seeds.
+std::string rangeText(std::vector<double> values)
 {
     std::sort(values.begin(), values.end());
     char text[64];
@@ -35,7 +36,7 @@
     return text;
 }
 
-void printRow(const NamedLoad &named, ReplaySettings settings, const char *name, const ReplayLoad &load,
+void printRow(const NamedLoad &namedLoad, ReplaySettings settings, const char *name, const ReplayLoad &load,
               std::uint64_t seeds)
 {
     std::vector<double> worth;
@@ -53,9 +54,9 @@
         failed.push_back(result.failed);
         sendings.push_back(result.sendings);
     }
-    std::printf("%-9s %-22s %s  %s  %s  %s  %s  %s\n", named.name, name, spread(worth).c_str(),
-                spread(inTarget).c_str(), spread(late).c_str(), spread(refused).c_str(), spread(failed).c_str(),
-                spread(sendings).c_str());
+    std::printf("%-9s %-22s %s  %s  %s  %s  %s  %s\n", namedLoad.name, name, rangeText(worth).c_str(),
+                rangeText(inTarget).c_str(), rangeText(late).c_str(), rangeText(refused).c_str(),
+                rangeText(failed).c_str(), rangeText(sendings).c_str());
 }
 
 }
@@ -65,29 +66,30 @@
     ReplayLoad load;
     std::uint64_t seeds = 5;
     double rateFactor = 1.0;
-    CLI::App app("Plays loads against the node's decisions and plain rules; least/median/most over the seeds.");
-    app.add_option("--seeds", seeds, "seeds 1 to this one");
-    app.add_option("--rate-factor", rateFactor, "requests come this many times as often");
-    app.add_option("--slow-share", load.slowShare, "share of the time for which a VM is slow");
-    app.add_option("--slow-factor", load.slowFactor, "how many times longer work takes then");
-    app.add_option("--slots", load.slots, "requests that an upstream works on at a time");
+    CLI::App app(
+        "Replays loads against the node's decisions and plain rules; prints minimum/median/maximum over the seeds.");
+    app.add_option("--seeds", seeds, "the last seed; the first one is 1");
+    app.add_option("--rate-factor", rateFactor, "factor for the rate of requests");
+    app.add_option("--slow-share", load.slowShare, "share of the time in which a VM is slow");
+    app.add_option("--slow-factor", load.slowFactor, "factor by which work takes longer on a slow VM");
+    app.add_option("--slots", load.slots, "number of requests that an upstream works on at the same time");
     CLI11_PARSE(app, argumentCount, arguments);
     std::printf(
         "load      rule                   worth              in target          late               refused            "
         "failed             sendings\n");
-    for (const NamedLoad &named : Loads) {
-        load.rate = named.rate * rateFactor;
-        load.burst = named.burst;
+    for (const NamedLoad &namedLoad : Loads) {
+        load.rate = namedLoad.rate * rateFactor;
+        load.burst = namedLoad.burst;
         for (const ReplayRule rule : {ReplayRule::Random, ReplayRule::RoundRobin, ReplayRule::LeastInFlight,
                                       ReplayRule::TwoChoices, ReplayRule::Egretpath}) {
             ReplaySettings settings;
             settings.rule = rule;
-            printRow(named, settings, std::string(toString(rule)).c_str(), load, seeds);
+            printRow(namedLoad, settings, std::string(toString(rule)).c_str(), load, seeds);
         }
         for (const Mechanism &mechanism : mechanisms()) {
             ReplaySettings without;
             mechanism.switchOff(without.decisions);
-            printRow(named, without, ("- " + std::string(mechanism.name)).c_str(), load, seeds);
+            printRow(namedLoad, without, ("- " + std::string(mechanism.name)).c_str(), load, seeds);
         }
     }
     return 0;
--- a/bench/replay/replay.h
+++ b/bench/replay/replay.h
@@ -10,39 +10,40 @@
 namespace Egretpath
 {
 
-/// How a node chooses an upstream, and what stands before the upstream.
+/// How a node chooses an upstream, and how requests are admitted at the upstream.
 enum class ReplayRule : std::uint8_t {
-    /// Any of them, and the upstream's own queue.
+    /// Any upstream at random. Under this and the other plain rules, requests wait in the upstream's own queue.
     Random,
-    /// One after the other.
+    /// One upstream after the other.
     RoundRobin,
-    /// Fewest of the node's own requests under way.
+    /// The upstream with the fewest of the node's own requests in flight.
     LeastInFlight,
-    /// The better of two drawn ones, by the node's own requests under way.
+    /// The better of two upstreams that are drawn at random, by the node's own requests in flight.
     TwoChoices,
-    /// Placement with declining, and WorkQueue: the decisions of the node.
+    /// The node's own decisions: Placement with declining, and WorkQueue.
     Egretpath,
 };
 
 [[nodiscard]] std::string_view toString(ReplayRule rule);
 
-/// A load and the VMs that it meets. The figures are those of the users' deployments.
+/// A load and the VMs that process it. The defaults are those of the users' deployments.
 struct ReplayLoad
 {
     std::size_t upstreams = 6;
-    /// Nodes at which requests begin, three in each zone.
+    /// Number of nodes that requests come from, three in each zone.
     std::size_t nodes = 18;
     std::uint32_t slots = 9;
     Milliseconds work{120};
     double workSpread = 0.3;
-    /// A VM is slow for this share of the time, by this factor, in spells of this length at the mean.
+    /// A VM is slow for the share `slowShare` of the time, by the factor `slowFactor`, in periods of the mean length
+    /// `slowPeriod`.
     double slowShare = 0.35;
     double slowFactor = 4.0;
     Milliseconds slowPeriod{300};
-    /// From this fill on an upstream takes longer by this factor.
+    /// An upstream whose fill is above `knee` takes longer by the factor `kneeFactor`.
     double knee = 0.8;
     double kneeFactor = 1.7;
-    /// Requests a second, and how many times as many from `burstFrom` to `burstTo`.
+    /// Requests per second, and the factor by which there are more from `burstFrom` to `burstTo`.
     double rate = 110;
     double burst = 1.0;
     Milliseconds burstFrom{5000};
@@ -55,27 +56,27 @@
 struct ReplaySettings
 {
     ReplayRule rule = ReplayRule::Egretpath;
-    /// Of these, placement, view, queue and questions take part.
+    /// Only the settings of placement, view, queue and queries have an effect.
     DecisionSettings decisions;
     std::uint64_t seed = 1;
 };
 
-/// What became of the requests, as shares of all.
+/// The outcomes of the requests, as shares of all requests.
 struct ReplayResult
 {
     double inTarget = 0.0;
     double late = 0.0;
     double refused = 0.0;
-    /// Cut at the deadline.
+    /// Requests that were cut at the deadline.
     double failed = 0.0;
-    /// Questions and sendings for each request.
+    /// Queries and sendings per request.
     double sendings = 0.0;
-    /// A late answer counts a tenth.
+    /// The share of answers in time, to which each late answer adds a tenth.
     [[nodiscard]] double worth() const;
 };
 
-/// Plays @p load in virtual time against the decisions of @p settings. The same seed draws the same arrivals, work and
-/// slow spells for every rule. Thread safety: safe. Errors: none.
+/// Replays @p load in virtual time against the decisions of @p settings. The same seed gives the same arrivals, work
+/// and slow periods for every rule. Thread safety: safe. Errors: none.
 [[nodiscard]] ReplayResult replay(const ReplayLoad &load, const ReplaySettings &settings);
 
 }
--- a/tests/replay/replaytest.cpp
+++ b/tests/replay/replaytest.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t Seeds = 5;
 
-/// Twice the usual load for five seconds, on VMs of which a third is four times slower at any time.
+/// Twice the usual load for five seconds. At any time a third of the VMs is four times slower.
 ReplayLoad burst()
 {
     ReplayLoad load;
@@ -23,7 +23,7 @@
     return load;
 }
 
-/// More than the upstreams can work off, for as long as it lasts.
+/// More requests than the upstreams can process, for the whole duration.
 ReplayLoad overload()
 {
     ReplayLoad load;
@@ -31,7 +31,7 @@
     return load;
 }
 
-/// The mean over the seeds.
+/// Returns the mean over all seeds.
 ReplayResult meanOf(const ReplayLoad &load, ReplaySettings settings)
 {
     ReplayResult mean;
@@ -46,26 +46,26 @@
     return mean;
 }
 
-/// The node's own decisions, played once for all tests.
-const ReplayResult &ownCalm()
+/// The results of the node's own decisions, computed once for all tests.
+const ReplayResult &calmResult()
 {
     static const ReplayResult result = meanOf(ReplayLoad(), {});
     return result;
 }
 
-const ReplayResult &ownBurst()
+const ReplayResult &burstResult()
 {
     static const ReplayResult result = meanOf(burst(), {});
     return result;
 }
 
-const ReplayResult &ownOverload()
+const ReplayResult &overloadResult()
 {
     static const ReplayResult result = meanOf(overload(), {});
     return result;
 }
 
-ReplaySettings ruleOf(ReplayRule rule)
+ReplaySettings settingsFor(ReplayRule rule)
 {
     ReplaySettings settings;
     settings.rule = rule;
@@ -74,7 +74,7 @@
 
 }
 
-TEST_CASE("the same seed gives the same figures")
+TEST_CASE("the same seed gives the same result")
 {
     const ReplayResult first = replay(burst(), {});
     const ReplayResult again = replay(burst(), {});
@@ -83,65 +83,67 @@
     CHECK(first.inTarget + first.late + first.refused + first.failed == Approx(1.0));
 }
 
-// Callers wait four times as long as usual though other VMs are quick: at each moment a third of the VMs is slow for
-// some tenths of a second, and whoever counts requests under way learns of it when it is over.
-TEST_CASE("placement serves more in time than the plain rules, calm or in a burst")
+// Guards against callers that wait four times as long as usual although other VMs are fast. At each moment a third of
+// the VMs is slow for some tenths of a second. A rule that counts the requests in flight sees this only when it is
+// over.
+TEST_CASE("placement answers more requests in time than the plain rules, at normal load, in a burst and under overload")
 {
     const std::pair<ReplayLoad, double> loads[] = {
-        {ReplayLoad(), ownCalm().worth()}, {burst(), ownBurst().worth()}, {overload(), ownOverload().worth()}};
+        {ReplayLoad(), calmResult().worth()}, {burst(), burstResult().worth()}, {overload(), overloadResult().worth()}};
     for (const auto &[load, own] : loads) {
         for (const ReplayRule rule :
              {ReplayRule::Random, ReplayRule::RoundRobin, ReplayRule::LeastInFlight, ReplayRule::TwoChoices}) {
-            CHECK(own > meanOf(load, ruleOf(rule)).worth() + 0.2);
+            CHECK(own > meanOf(load, settingsFor(rule)).worth() + 0.2);
         }
     }
 }
 
-// A request goes to an upstream that was quick a moment ago, and waits there for a slot while its neighbour idles. The
-// node beside the upstream knows, and may send it on.
-TEST_CASE("nodes that may decline serve more in time")
+// A request is sent to an upstream that was fast a moment ago, and waits there for a slot while another upstream is
+// idle. The node beside the upstream knows the current state and may decline the request.
+TEST_CASE("nodes that may decline answer more requests in time")
 {
     ReplaySettings without;
     without.decisions.ingress.ingress.maxQueries = 0;
-    CHECK(ownCalm().worth() > meanOf(ReplayLoad(), without).worth() + 0.08);
-    CHECK(ownBurst().worth() > meanOf(burst(), without).worth() + 0.03);
+    CHECK(calmResult().worth() > meanOf(ReplayLoad(), without).worth() + 0.08);
+    CHECK(burstResult().worth() > meanOf(burst(), without).worth() + 0.03);
 }
 
-// All slots of an upstream are taken, and each request takes 1.7 times as long as with a slot less: an upstream that is
-// given all that it says it can work on finishes less.
-TEST_CASE("upstreams that are kept below the fill from which they slow themselves finish more")
+// With all slots of an upstream in use, each request takes 1.7 times as long as with one slot fewer. An upstream that
+// gets as many requests as it has slots therefore finishes fewer.
+TEST_CASE("upstreams that are kept below the fill at which they become slower finish more requests")
 {
     ReplaySettings allSlots;
     allSlots.decisions.queue.maxFill = 1.0;
-    CHECK(ownBurst().worth() > meanOf(burst(), allSlots).worth() + 0.08);
-    CHECK(ownOverload().worth() > meanOf(overload(), allSlots).worth() + 0.2);
+    CHECK(burstResult().worth() > meanOf(burst(), allSlots).worth() + 0.08);
+    CHECK(overloadResult().worth() > meanOf(overload(), allSlots).worth() + 0.2);
 }
 
-// While more comes than can be worked off, requests that have missed their target wait behind all that can still be in
-// time, and are cut at their deadline. Their callers hear nothing for seconds, instead of when to come back.
-TEST_CASE("requests that can't be in time are refused while their callers can still come back")
+// During overload, requests that have missed their target wait behind all requests that can still be in time, and are
+// cut at their deadline. Guards against callers that get no answer for seconds, instead of a refusal with a time for
+// the retry.
+TEST_CASE("requests that can't be in time are refused while their callers can still retry")
 {
-    ReplaySettings waiting;
-    waiting.decisions.queue.maxLateBacklog = 1000.0;
-    waiting.decisions.queue.maxLateWait = 1000.0;
-    const ReplayResult &own = ownOverload();
-    const ReplayResult held = meanOf(overload(), waiting);
+    ReplaySettings withoutLateLimits;
+    withoutLateLimits.decisions.queue.maxLateBacklog = 1000.0;
+    withoutLateLimits.decisions.queue.maxLateWait = 1000.0;
+    const ReplayResult &own = overloadResult();
+    const ReplayResult unlimitedResult = meanOf(overload(), withoutLateLimits);
     CHECK(own.failed < 0.005);
-    CHECK(held.failed > 0.02);
-    CHECK(own.worth() > held.worth() - 0.02);
+    CHECK(unlimitedResult.failed > 0.02);
+    CHECK(own.worth() > unlimitedResult.worth() - 0.02);
 }
 
-// Work that begins in a slow spell of its VM keeps that pace and its slot to its end. In a burst the slots fill with
-// work that began at the wrong moment, and requests that need a third of a slot's time find none.
-TEST_CASE("upstreams that begin work after a slow spell finish more in time")
+// Work that starts in a slow period of its VM stays slow and occupies its slot until it is finished. In a burst the
+// slots fill with such work, and requests that would take a third of that time find no slot.
+TEST_CASE("upstreams that start work after a slow period finish more requests in time")
 {
-    ReplaySettings atOnce;
-    atOnce.decisions.queue.waitsForSlowPeriodEnd = false;
-    CHECK(ownBurst().worth() > meanOf(burst(), atOnce).worth() + 0.02);
-    CHECK(ownOverload().worth() > meanOf(overload(), atOnce).worth() + 0.05);
+    ReplaySettings withoutSlowPeriodWait;
+    withoutSlowPeriodWait.decisions.queue.waitsForSlowPeriodEnd = false;
+    CHECK(burstResult().worth() > meanOf(burst(), withoutSlowPeriodWait).worth() + 0.02);
+    CHECK(overloadResult().worth() > meanOf(overload(), withoutSlowPeriodWait).worth() + 0.05);
 }
 
-TEST_CASE("each mechanism that can be switched off has a name of its own")
+TEST_CASE("each mechanism that can be switched off has a unique name")
 {
     std::set<std::string_view> names;
     for (const Mechanism &mechanism : mechanisms()) {
