--- a/cmake/EgretpathTargets.cmake
+++ b/cmake/EgretpathTargets.cmake
@@ -4,8 +4,8 @@
 find_package(Threads REQUIRED)
 find_package(ZLIB REQUIRED)
 
-# Asio without deprecated interfaces; the options are shared so that every
-# translation unit sees the same Boost.
+# Disables the deprecated interfaces of Asio. All targets share these options, so
+# that every translation unit sees the same Boost.
 add_library(egretpath_options INTERFACE)
 target_include_directories(egretpath_options INTERFACE ${PROJECT_SOURCE_DIR}/src)
 target_compile_options(egretpath_options INTERFACE -Wall -Wextra -Wpedantic)
@@ -13,7 +13,7 @@
 target_link_libraries(egretpath_options INTERFACE Threads::Threads)
 
 # egretpath_library(<name> SOURCES ... [LINKS ...] [NEEDS ...])
-# LINKS names other libraries of the project, NEEDS external ones.
+# Adds a library. LINKS names other libraries of the project, NEEDS external ones.
 function(egretpath_library name)
     cmake_parse_arguments(ARG "" "" "SOURCES;LINKS;NEEDS" ${ARGN})
     list(TRANSFORM ARG_LINKS PREPEND egretpath_)
@@ -22,6 +22,7 @@
 endfunction()
 
 # egretpath_program(<name> SOURCES ... [LINKS ...] [NEEDS ...])
+# Adds a program that is built in the folder bin of the build tree.
 function(egretpath_program name)
     cmake_parse_arguments(ARG "" "" "SOURCES;LINKS;NEEDS" ${ARGN})
     list(TRANSFORM ARG_LINKS PREPEND egretpath_)
@@ -31,7 +32,8 @@
 endfunction()
 
 # egretpath_known_red(<library> <variable>)
-# The test cases of <library> that KNOWN-RED.txt lists, as arguments that leave out just these. Each is printed.
+# Sets <variable> to test arguments that exclude the test cases of <library> listed in KNOWN-RED.txt, and no others.
+# Prints each excluded test case.
 function(egretpath_known_red library variable)
     set(list_file ${PROJECT_SOURCE_DIR}/KNOWN-RED.txt)
     set(arguments "")
@@ -41,7 +43,7 @@
         foreach(entry IN LISTS entries)
             string(REGEX REPLACE "^${library} [|] ([^|]*[^| ]) [|].*$" "\\1" test_case "${entry}")
             message(WARNING "known red, not run: ${entry}")
-            # Catch2 takes a comma for the end of a name.
+            # Catch2 treats a comma as the end of a test name.
             string(REPLACE "," "\\," test_case "${test_case}")
             list(APPEND arguments "~${test_case}")
         endforeach()
@@ -50,7 +52,7 @@
 endfunction()
 
 # egretpath_test(<library> SOURCES ... [LINKS ...] [NEEDS ...])
-# One test program for each library.
+# Adds the test program of <library> and registers it as a test. There is one test program for each library.
 function(egretpath_test library)
     cmake_parse_arguments(ARG "" "" "SOURCES;LINKS;NEEDS" ${ARGN})
     list(TRANSFORM ARG_LINKS PREPEND egretpath_)
