--- a/src/daemons/sidecarprogram.cpp
+++ b/src/daemons/sidecarprogram.cpp
@@ -33,14 +33,14 @@
 SidecarPlatform makePlatform(boost::asio::io_context &context, const SidecarSettings &settings,
                              const CatalogTimes &catalog)
 {
-    Platform::InstancePlaces places;
-    places.zones = settings.zones;
-    places.nodePort = portOfEndpoint(settings.peers.value()).value_or(0);
+    Platform::FleetLayout layout;
+    layout.zones = settings.zones;
+    layout.nodePort = portOfEndpoint(settings.peers.value()).value_or(0);
     SidecarPlatform platform;
     platform.callers = std::make_unique<Platform::PlatformCallerDialect>();
     platform.upstreams = std::make_unique<Platform::PlatformUpstreamDialect>();
     platform.catalog = std::make_unique<Platform::StoreWatcher>(context.get_executor(), settings.store,
-                                                                std::move(places), Random(systemSeed()), catalog);
+                                                                std::move(layout), Random(systemSeed()), catalog);
     return platform;
 }
 
--- a/tests/adapter/instanceentrytest.cpp
+++ b/tests/adapter/instanceentrytest.cpp
@@ -24,7 +24,7 @@
     return item;
 }
 
-InstancePlaces layout()
+FleetLayout layout()
 {
     return {{{ZoneName("north-a"), RegionName("north")}}, 7620};
 }
--- a/tests/adapter/storewatchertest.cpp
+++ b/tests/adapter/storewatchertest.cpp
@@ -85,7 +85,7 @@
                  [this](HttpExchange &exchange) { return store.handle(exchange); })
         , relay(context.get_executor(), *toTcpEndpoint(server.listen(Endpoint("127.0.0.1:0")).value()))
         , watcher(context.get_executor(), relay.listen(*toTcpEndpoint(Endpoint("127.0.0.1:0"))),
-                  Platform::InstancePlaces{{}, 7620}, Random(1))
+                  Platform::FleetLayout{{}, 7620}, Random(1))
     {
         watcher.attach(sink);
     }
--- a/tests/client/commandlinetest.cpp
+++ b/tests/client/commandlinetest.cpp
@@ -90,7 +90,7 @@
     const std::string path = folder.write("broken.json", R"({"version":"zz","listeners":[]})");
     const Answer answer = run({"check", path});
     CHECK(answer.code == ExitCode::No);
-    CHECK(answer.err.find(path + ": version is no number above zero: zz") != std::string::npos);
+    CHECK(answer.err.find(path + ": version is not a hexadecimal number above zero: zz") != std::string::npos);
     CHECK(run({"check", "/nonexistent"}).code == ExitCode::No);
     CHECK(run({"check"}).code == ExitCode::BadUsage);
 }
