--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/disturbances.cpp
@@ -5,36 +5,36 @@
 namespace Egretpath
 {
 
-void Disturbances::begin(NodeNumber node, Disturbance kind, TimePoint now)
+void FaultHistory::begin(NodeNumber node, FaultCategory category, TimePoint now)
 {
-    History &history = parts_[{node, kind}];
-    if (history.open++ == 0) {
+    History &history = histories_[{node, category}];
+    if (history.activeFaults++ == 0) {
         history.windows.push_back({now, TimePoint::max()});
     }
 }
 
-void Disturbances::end(NodeNumber node, Disturbance kind, TimePoint now)
+void FaultHistory::end(NodeNumber node, FaultCategory category, TimePoint now)
 {
-    History &history = parts_[{node, kind}];
-    if (history.open > 0 && --history.open == 0) {
+    History &history = histories_[{node, category}];
+    if (history.activeFaults > 0 && --history.activeFaults == 0) {
         history.windows.back().to = now;
     }
 }
 
-bool Disturbances::isCalm(NodeNumber node, Disturbance kind, TimePoint from, TimePoint to) const
+bool FaultHistory::isFaultFree(NodeNumber node, FaultCategory category, TimePoint from, TimePoint to) const
 {
-    return isCalm(Part{node, kind}, from, to) && isCalm(Part{AllNodes, kind}, from, to);
+    return isFaultFree(Target{node, category}, from, to) && isFaultFree(Target{AllNodes, category}, from, to);
 }
 
-bool Disturbances::isCalm(const Part &part, TimePoint from, TimePoint to) const
+bool FaultHistory::isFaultFree(const Target &target, TimePoint from, TimePoint to) const
 {
-    const auto found = parts_.find(part);
-    if (found == parts_.end()) {
+    const auto found = histories_.find(target);
+    if (found == histories_.end()) {
         return true;
     }
     const auto &windows = found->second.windows;
     return std::none_of(windows.begin(), windows.end(), [&](const Window &window) {
-        const bool endsBefore = window.to != TimePoint::max() && window.to + settle_ < from;
+        const bool endsBefore = window.to != TimePoint::max() && window.to + settleTime_ < from;
         return !endsBefore && window.from <= to;
     });
 }
--- a/tests/soak/disturbances.h
+++ b/tests/soak/disturbances.h
@@ -10,36 +10,39 @@
 namespace Egretpath
 {
 
-/// Something that faults may hit: a node with its links, or all nodes with what they share.
+/// Number of a node, counted from 0. A fault of a node may hit its process, its links or its upstream. AllNodes stands
+/// for all nodes and for what they share.
 using NodeNumber = std::size_t;
 inline constexpr NodeNumber AllNodes = std::numeric_limits<NodeNumber>::max();
 
-/// What hit a part of the deployment.
-enum class Disturbance : std::uint8_t {
-    /// Its process, its links or its VM.
+/// Category of a fault. A promise of the system is suspended by faults of some categories only.
+enum class FaultCategory : std::uint8_t {
+    /// A fault of the node's process, its links or its VM.
     Unplanned,
-    /// A stop or reload that it was asked for.
+    /// A requested stop or reload of the node, or a change of the routes.
     Planned,
-    /// The platform's store, or its way to it.
+    /// A fault of the platform's store or of the node's connection to it.
     Store,
-    /// The upstream beside it.
+    /// A fault of the upstream beside the node, or an unusual load from callers.
     Upstream,
 };
 
-/// Which parts of the deployment were hit when, so that a promise is held only where it was made. Thread safety: none.
-class Disturbances
+/// Records which nodes were hit by faults, and when, so that a promise is checked only where no fault suspends it.
+/// Thread safety: none.
+class FaultHistory
 {
 public:
-    /// @p settle: a part counts as hit for so long after the end of a fault.
-    explicit Disturbances(Duration settle)
-        : settle_(settle)
+    /// A fault counts until @p settleTime after its end.
+    explicit FaultHistory(Duration settleTime)
+        : settleTime_(settleTime)
     {
     }
 
-    void begin(NodeNumber node, Disturbance kind, TimePoint now);
-    void end(NodeNumber node, Disturbance kind, TimePoint now);
-    /// Whether nothing of @p kind hit @p node or all nodes from the settle time before @p from until @p to.
-    [[nodiscard]] bool isCalm(NodeNumber node, Disturbance kind, TimePoint from, TimePoint to) const;
+    void begin(NodeNumber node, FaultCategory category, TimePoint now);
+    void end(NodeNumber node, FaultCategory category, TimePoint now);
+    /// Whether no fault of @p category hit @p node, or all nodes, at any time from the settle time before @p from until
+    /// @p to.
+    [[nodiscard]] bool isFaultFree(NodeNumber node, FaultCategory category, TimePoint from, TimePoint to) const;
 
 private:
     struct Window
@@ -48,25 +51,25 @@
         TimePoint to;
     };
 
-    struct Part
+    struct Target
     {
         NodeNumber node = 0;
-        Disturbance kind = Disturbance::Unplanned;
+        FaultCategory category = FaultCategory::Unplanned;
 
-        friend auto operator<=>(const Part &, const Part &) = default;
+        friend auto operator<=>(const Target &, const Target &) = default;
     };
 
     struct History
     {
-        /// Faults that have begun and not ended; faults of one kind overlap.
-        int open = 0;
+        /// Faults that have started and not ended. Faults of one category may overlap.
+        int activeFaults = 0;
         std::vector<Window> windows;
     };
 
-    [[nodiscard]] bool isCalm(const Part &part, TimePoint from, TimePoint to) const;
+    [[nodiscard]] bool isFaultFree(const Target &target, TimePoint from, TimePoint to) const;
 
-    Duration settle_;
-    std::map<Part, History> parts_;
+    Duration settleTime_;
+    std::map<Target, History> histories_;
 };
 
 }
--- a/tests/soak/disturbancestest.cpp
+++ b/tests/soak/disturbancestest.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr Milliseconds Settle{3000};
+constexpr Milliseconds SettleTime{3000};
 
 TimePoint at(int milliseconds)
 {
@@ -16,32 +16,32 @@
 
 }
 
-TEST_CASE("a part is calm when nothing hit it from the settle time before")
+TEST_CASE("a node is fault-free if no fault hit it since the settle time before the interval")
 {
-    Disturbances disturbances(Settle);
-    disturbances.begin(1, Disturbance::Unplanned, at(0));
-    CHECK_FALSE(disturbances.isCalm(1, Disturbance::Unplanned, at(10), at(20)));
-    disturbances.end(1, Disturbance::Unplanned, at(100));
-    CHECK_FALSE(disturbances.isCalm(1, Disturbance::Unplanned, at(3000), at(3050)));
-    CHECK(disturbances.isCalm(1, Disturbance::Unplanned, at(3200), at(3300)));
-    CHECK(disturbances.isCalm(2, Disturbance::Unplanned, at(10), at(20)));
-    CHECK(disturbances.isCalm(1, Disturbance::Store, at(10), at(20)));
+    FaultHistory faultHistory(SettleTime);
+    faultHistory.begin(1, FaultCategory::Unplanned, at(0));
+    CHECK_FALSE(faultHistory.isFaultFree(1, FaultCategory::Unplanned, at(10), at(20)));
+    faultHistory.end(1, FaultCategory::Unplanned, at(100));
+    CHECK_FALSE(faultHistory.isFaultFree(1, FaultCategory::Unplanned, at(3000), at(3050)));
+    CHECK(faultHistory.isFaultFree(1, FaultCategory::Unplanned, at(3200), at(3300)));
+    CHECK(faultHistory.isFaultFree(2, FaultCategory::Unplanned, at(10), at(20)));
+    CHECK(faultHistory.isFaultFree(1, FaultCategory::Store, at(10), at(20)));
 }
 
-TEST_CASE("what hits all nodes hits each of them")
+TEST_CASE("a fault of all nodes counts for each node")
 {
-    Disturbances disturbances(Settle);
-    disturbances.begin(AllNodes, Disturbance::Store, at(0));
-    CHECK_FALSE(disturbances.isCalm(4, Disturbance::Store, at(10), at(20)));
+    FaultHistory faultHistory(SettleTime);
+    faultHistory.begin(AllNodes, FaultCategory::Store, at(0));
+    CHECK_FALSE(faultHistory.isFaultFree(4, FaultCategory::Store, at(10), at(20)));
 }
 
-TEST_CASE("faults of one kind that overlap end with the last of them")
+TEST_CASE("overlapping faults of one category end with the last of them")
 {
-    Disturbances disturbances(Settle);
-    disturbances.begin(1, Disturbance::Upstream, at(0));
-    disturbances.begin(1, Disturbance::Upstream, at(50));
-    disturbances.end(1, Disturbance::Upstream, at(100));
-    CHECK_FALSE(disturbances.isCalm(1, Disturbance::Upstream, at(9000), at(9010)));
-    disturbances.end(1, Disturbance::Upstream, at(9020));
-    CHECK(disturbances.isCalm(1, Disturbance::Upstream, at(12'100), at(12'200)));
+    FaultHistory faultHistory(SettleTime);
+    faultHistory.begin(1, FaultCategory::Upstream, at(0));
+    faultHistory.begin(1, FaultCategory::Upstream, at(50));
+    faultHistory.end(1, FaultCategory::Upstream, at(100));
+    CHECK_FALSE(faultHistory.isFaultFree(1, FaultCategory::Upstream, at(9000), at(9010)));
+    faultHistory.end(1, FaultCategory::Upstream, at(9020));
+    CHECK(faultHistory.isFaultFree(1, FaultCategory::Upstream, at(12'100), at(12'200)));
 }
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -19,72 +19,72 @@
 namespace
 {
 
-/// How often it is looked whether a process has ended or is there again.
-constexpr Milliseconds EndPoll{20};
+/// Interval at which a process is checked for its exit or restart.
+constexpr Milliseconds ProcessPollInterval{20};
 constexpr Milliseconds LinkDelay{150};
-/// Upstreams that leave still serve for this time after the store took their word.
+/// An upstream still serves for this time after its entry in the store says that it is draining.
 constexpr Milliseconds DrainTime{2500};
-/// An entry of an upstream that died lapses after three missed heartbeats.
-constexpr Milliseconds LapseTime{1500};
-/// An address is used again so soon after its upstream has ended.
-constexpr Milliseconds AddressPause{2000};
-constexpr Milliseconds CrashRestartTime{700};
-constexpr Milliseconds StormGap{300};
-constexpr unsigned ManyRoutes = 300;
-constexpr unsigned FewRoutes = 8;
-constexpr double BurstFactor = 2.5;
-constexpr double LeavingShare = 0.4;
-constexpr double UsualLeavingShare = 0.02;
-/// A process that has ended is there again within this time.
-constexpr Milliseconds StartLimit{8000};
+/// The entry of a crashed upstream expires after three missed heartbeats.
+constexpr Milliseconds EntryExpiryTime{1500};
+/// Time between the exit of an upstream and the start of the next one at the same address.
+constexpr Milliseconds AddressReuseDelay{2000};
+constexpr Milliseconds CrashRestartDelay{700};
+constexpr Milliseconds StormInterval{300};
+constexpr unsigned ManyIdleRoutes = 300;
+constexpr unsigned UsualIdleRoutes = 8;
+constexpr double BurstRateFactor = 2.5;
+constexpr double HighDisconnectShare = 0.4;
+constexpr double UsualDisconnectShare = 0.02;
+/// A process that has exited must run again within this time.
+constexpr Milliseconds StartTimeout{8000};
 
 }
 
-const std::vector<FaultInjector::Entry> FaultInjector::Entries{
-    {FaultKind::NodeKill, &FaultInjector::killNode, Disturbance::Unplanned, false},
-    {FaultKind::NodePause, &FaultInjector::pauseNode, Disturbance::Unplanned, false},
-    {FaultKind::NodeStop, &FaultInjector::stopNode, Disturbance::Planned, false},
-    {FaultKind::NodeReload, &FaultInjector::reloadNode, Disturbance::Planned, false},
-    {FaultKind::NodesKilledTogether, &FaultInjector::killTogether, Disturbance::Unplanned, true},
-    {FaultKind::LinkDelay, &FaultInjector::harmLink, Disturbance::Unplanned, false},
-    {FaultKind::LinkReset, &FaultInjector::resetLink, Disturbance::Unplanned, false},
-    {FaultKind::LinkOneWay, &FaultInjector::harmLink, Disturbance::Unplanned, false},
-    {FaultKind::LinkCut, &FaultInjector::harmLink, Disturbance::Unplanned, false},
-    {FaultKind::LinkSilence, &FaultInjector::silenceLink, Disturbance::Unplanned, false},
-    {FaultKind::StoreLinkCut, &FaultInjector::cutStoreLink, Disturbance::Store, false},
-    {FaultKind::StoreLinkReset, &FaultInjector::resetStoreLink, Disturbance::Store, false},
-    {FaultKind::StoreLinkSilence, &FaultInjector::silenceStoreLink, Disturbance::Store, false},
-    {FaultKind::StoreDown, &FaultInjector::disturbStore, Disturbance::Store, true},
-    {FaultKind::StoreBusy, &FaultInjector::disturbStore, Disturbance::Store, true},
-    {FaultKind::StoreSlow, &FaultInjector::disturbStore, Disturbance::Store, true},
-    {FaultKind::StoreAnswersLost, &FaultInjector::disturbStore, Disturbance::Store, true},
-    {FaultKind::StoreCompact, &FaultInjector::compactStore, Disturbance::Store, true},
-    {FaultKind::UpstreamSlow, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamFailing, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamAnswersLost, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamCutsAnswers, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamUnsigned, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamRefusing, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamHangs, &FaultInjector::disturbUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamReplaced, &FaultInjector::replaceUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamCrash, &FaultInjector::crashUpstream, Disturbance::Upstream, false},
-    {FaultKind::UpstreamCrashedByRequest, &FaultInjector::crashByRequest, Disturbance::Upstream, true},
-    {FaultKind::CallerBurst, &FaultInjector::pressCallers, Disturbance::Upstream, true},
-    {FaultKind::CallersLeave, &FaultInjector::haveCallersLeave, Disturbance::Upstream, true},
-    {FaultKind::RoutesChange, &FaultInjector::changeRoutes, Disturbance::Planned, true},
-    {FaultKind::RoutesStorm, &FaultInjector::stormRoutes, Disturbance::Planned, true},
-    {FaultKind::RoutesGrow, &FaultInjector::growRoutes, Disturbance::Planned, true},
+const std::vector<FaultInjector::Definition> FaultInjector::Definitions{
+    {FaultKind::NodeKill, &FaultInjector::killNode, FaultCategory::Unplanned, false},
+    {FaultKind::NodePause, &FaultInjector::pauseNode, FaultCategory::Unplanned, false},
+    {FaultKind::NodeStop, &FaultInjector::stopNode, FaultCategory::Planned, false},
+    {FaultKind::NodeReload, &FaultInjector::reloadNode, FaultCategory::Planned, false},
+    {FaultKind::NodesKilledTogether, &FaultInjector::killNodesTogether, FaultCategory::Unplanned, true},
+    {FaultKind::LinkDelay, &FaultInjector::impairLink, FaultCategory::Unplanned, false},
+    {FaultKind::LinkReset, &FaultInjector::resetLink, FaultCategory::Unplanned, false},
+    {FaultKind::LinkOneWay, &FaultInjector::impairLink, FaultCategory::Unplanned, false},
+    {FaultKind::LinkCut, &FaultInjector::impairLink, FaultCategory::Unplanned, false},
+    {FaultKind::LinkSilence, &FaultInjector::silenceLink, FaultCategory::Unplanned, false},
+    {FaultKind::StoreLinkCut, &FaultInjector::cutStoreLink, FaultCategory::Store, false},
+    {FaultKind::StoreLinkReset, &FaultInjector::resetStoreLink, FaultCategory::Store, false},
+    {FaultKind::StoreLinkSilence, &FaultInjector::silenceStoreLink, FaultCategory::Store, false},
+    {FaultKind::StoreDown, &FaultInjector::impairStore, FaultCategory::Store, true},
+    {FaultKind::StoreBusy, &FaultInjector::impairStore, FaultCategory::Store, true},
+    {FaultKind::StoreSlow, &FaultInjector::impairStore, FaultCategory::Store, true},
+    {FaultKind::StoreAnswersLost, &FaultInjector::impairStore, FaultCategory::Store, true},
+    {FaultKind::StoreCompact, &FaultInjector::compactStore, FaultCategory::Store, true},
+    {FaultKind::UpstreamSlow, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamFailing, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamAnswersLost, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamCutsAnswers, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamUnsigned, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamRefusing, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamHangs, &FaultInjector::impairUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamReplaced, &FaultInjector::replaceUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamCrash, &FaultInjector::crashUpstream, FaultCategory::Upstream, false},
+    {FaultKind::UpstreamCrashedByRequest, &FaultInjector::crashByRequest, FaultCategory::Upstream, true},
+    {FaultKind::CallerBurst, &FaultInjector::burstCallers, FaultCategory::Upstream, true},
+    {FaultKind::CallersLeave, &FaultInjector::disconnectCallers, FaultCategory::Upstream, true},
+    {FaultKind::RoutesChange, &FaultInjector::changeRoutes, FaultCategory::Planned, true},
+    {FaultKind::RoutesStorm, &FaultInjector::publishRouteStorm, FaultCategory::Planned, true},
+    {FaultKind::RoutesGrow, &FaultInjector::growRoutes, FaultCategory::Planned, true},
 };
 
 FaultInjector::FaultInjector(asio::io_context &context, SoakDeployment &deployment, StandinStore &store,
-                             Operators &operators, SoakCallers &callers, Disturbances &disturbances,
+                             RoutePublisher &routePublisher, SoakCallers &callers, FaultHistory &faultHistory,
                              PromiseChecker &checker, DeploymentOptions options)
     : context_(context)
     , deployment_(deployment)
     , store_(store)
-    , operators_(operators)
+    , routePublisher_(routePublisher)
     , callers_(callers)
-    , disturbances_(disturbances)
+    , faultHistory_(faultHistory)
     , checker_(checker)
     , options_(std::move(options))
 {
@@ -92,32 +92,32 @@
 
 asio::awaitable<void> FaultInjector::inject(PlannedFault fault)
 {
-    const auto entry =
-        std::find_if(Entries.begin(), Entries.end(), [&fault](const Entry &known) { return known.kind == fault.kind; });
-    const NodeNumber hit = entry->everywhere ? AllNodes : fault.node;
-    disturbances_.begin(hit, entry->disturbs, currentTime());
-    co_await (this->*entry->action)(fault);
-    disturbances_.end(hit, entry->disturbs, currentTime());
+    const auto definition = std::find_if(Definitions.begin(), Definitions.end(),
+                                         [&fault](const Definition &known) { return known.kind == fault.kind; });
+    const NodeNumber node = definition->affectsAllNodes ? AllNodes : fault.node;
+    faultHistory_.begin(node, definition->category, currentTime());
+    co_await (this->*definition->action)(fault);
+    faultHistory_.end(node, definition->category, currentTime());
 }
 
-asio::awaitable<void> FaultInjector::waitUntilRunning(const Member &member, unsigned boot)
+asio::awaitable<void> FaultInjector::waitUntilRunning(const Member &member, unsigned startCount)
 {
-    const TimePoint limit = currentTime() + StartLimit;
-    while (member.process->boot() == boot && currentTime() < limit) {
-        co_await sleepFor(EndPoll);
+    const TimePoint limit = currentTime() + StartTimeout;
+    while (member.process->startCount() == startCount && currentTime() < limit) {
+        co_await sleepFor(ProcessPollInterval);
     }
-    if (member.process->boot() == boot) {
-        checker_.violated("runs on", "node " + std::to_string(member.number) + " was not started again");
+    if (member.process->startCount() == startCount) {
+        checker_.recordViolation("runs on", "node " + std::to_string(member.number) + " was not started again");
     }
 }
 
 asio::awaitable<void> FaultInjector::killAndWait(Member &member)
 {
-    const unsigned boot = member.process->boot();
-    if (member.process->runs()) {
-        member.endExpected = true;
+    const unsigned startCount = member.process->startCount();
+    if (member.process->isRunning()) {
+        member.isExitExpected = true;
         member.process->signal(SIGKILL);
-        co_await waitUntilRunning(member, boot);
+        co_await waitUntilRunning(member, startCount);
     }
 }
 
@@ -126,18 +126,18 @@
     co_await killAndWait(deployment_.member(fault.node));
 }
 
-asio::awaitable<void> FaultInjector::killTogether(PlannedFault fault)
+asio::awaitable<void> FaultInjector::killNodesTogether(PlannedFault fault)
 {
     for (const auto &member : deployment_.members()) {
-        if ((member->number + fault.node) % 3 != 0 && member->process->runs()) {
-            member->endExpected = true;
+        if ((member->number + fault.node) % 3 != 0 && member->process->isRunning()) {
+            member->isExitExpected = true;
             member->process->signal(SIGKILL);
         }
     }
     co_await sleepFor(fault.length);
 }
 
-/// A process that wakes late acts on what it knew before.
+/// A paused process acts on outdated state when it resumes.
 asio::awaitable<void> FaultInjector::pauseNode(PlannedFault fault)
 {
     Member &member = deployment_.member(fault.node);
@@ -149,39 +149,42 @@
 asio::awaitable<void> FaultInjector::stopNode(PlannedFault fault)
 {
     Member &member = deployment_.member(fault.node);
-    if (!stopping_.insert(fault.node).second) {
+    if (!stoppingNodes_.insert(fault.node).second) {
         co_return;
     }
-    const unsigned boot = member.process->boot();
-    member.endExpected = member.process->runs();
+    const unsigned startCount = member.process->startCount();
+    member.isExitExpected = member.process->isRunning();
     member.process->signal(SIGTERM);
     const TimePoint limit = currentTime() + options_.grace;
-    while (member.process->boot() == boot && member.process->runs() && currentTime() < limit) {
-        co_await sleepFor(EndPoll);
+    while (member.process->startCount() == startCount && member.process->isRunning() && currentTime() < limit) {
+        co_await sleepFor(ProcessPollInterval);
     }
-    if (member.process->boot() == boot && member.process->runs()) {
-        const bool calm = disturbances_.isCalm(fault.node, Disturbance::Unplanned, limit - options_.grace, limit);
-        if (calm) {
-            checker_.violated("a planned stop ends in time", "node " + std::to_string(fault.node) + " still runs");
+    if (member.process->startCount() == startCount && member.process->isRunning()) {
+        const bool isFaultFreeStop =
+            faultHistory_.isFaultFree(fault.node, FaultCategory::Unplanned, limit - options_.grace, limit);
+        if (isFaultFreeStop) {
+            checker_.recordViolation("a planned stop ends in time",
+                                     "node " + std::to_string(fault.node) + " still runs");
         }
         member.process->signal(SIGKILL);
     }
-    co_await waitUntilRunning(member, boot);
-    stopping_.erase(fault.node);
+    co_await waitUntilRunning(member, startCount);
+    stoppingNodes_.erase(fault.node);
 }
 
-/// A changed file, one that can't be read, and the first again; the node goes on with what is in force.
+/// Reloads a settings file that can't be parsed, then the original one. The node must keep its active settings
+/// meanwhile.
 asio::awaitable<void> FaultInjector::reloadNode(PlannedFault fault)
 {
     Member &member = deployment_.member(fault.node);
-    deployment_.breakSettings(member);
+    deployment_.writeInvalidSettings(member);
     member.process->signal(SIGHUP);
     co_await sleepFor(std::min(fault.length, Milliseconds{300}));
     deployment_.writeSettings(member, options_.repeatSlack);
     member.process->signal(SIGHUP);
 }
 
-asio::awaitable<void> FaultInjector::harmLink(PlannedFault fault)
+asio::awaitable<void> FaultInjector::impairLink(PlannedFault fault)
 {
     Member &member = deployment_.member(fault.node);
     if (!member.peerLink) {
@@ -191,12 +194,13 @@
     conditions.delay = fault.kind == FaultKind::LinkDelay ? Duration(LinkDelay) : Duration{0};
     conditions.holdRequests = fault.kind == FaultKind::LinkOneWay;
     conditions.partitioned = fault.kind == FaultKind::LinkCut;
-    // The other nodes see this link too: their requests to this node's upstream are what it harms.
-    disturbances_.begin(AllNodes, Disturbance::Upstream, currentTime());
+    // Requests of other nodes to this node's upstream pass over the same link, so the fault counts for the upstreams of
+    // all nodes.
+    faultHistory_.begin(AllNodes, FaultCategory::Upstream, currentTime());
     member.peerLink->setConditions(conditions);
     co_await sleepFor(fault.length);
     member.peerLink->setConditions(RelayConditions());
-    disturbances_.end(AllNodes, Disturbance::Upstream, currentTime());
+    faultHistory_.end(AllNodes, FaultCategory::Upstream, currentTime());
 }
 
 asio::awaitable<void> FaultInjector::resetLink(PlannedFault fault)
@@ -242,7 +246,7 @@
     co_await sleepFor(fault.length);
 }
 
-asio::awaitable<void> FaultInjector::disturbStore(PlannedFault fault)
+asio::awaitable<void> FaultInjector::impairStore(PlannedFault fault)
 {
     const StoreMode mode = fault.kind == FaultKind::StoreDown ? StoreMode::Down
         : fault.kind == FaultKind::StoreBusy                  ? StoreMode::Busy
@@ -259,55 +263,56 @@
     co_return;
 }
 
-asio::awaitable<void> FaultInjector::disturbUpstream(PlannedFault fault)
+asio::awaitable<void> FaultInjector::impairUpstream(PlannedFault fault)
 {
-    constexpr double Slow = 6.0;
-    constexpr double Often = 0.4;
-    constexpr double Sometimes = 0.1;
+    constexpr double SlowFactor = 6.0;
+    constexpr double HighShare = 0.4;
+    constexpr double LowShare = 0.1;
     UpstreamFaults faults;
-    faults.slow = fault.kind == FaultKind::UpstreamSlow ? Slow : 1.0;
-    faults.failing = fault.kind == FaultKind::UpstreamFailing ? Often : 0.0;
-    faults.answerLost = fault.kind == FaultKind::UpstreamAnswersLost ? Sometimes : 0.0;
-    faults.cutShort = fault.kind == FaultKind::UpstreamCutsAnswers ? Sometimes : 0.0;
-    faults.unsignedShare = fault.kind == FaultKind::UpstreamUnsigned ? Sometimes : 0.0;
-    faults.refusing = fault.kind == FaultKind::UpstreamRefusing;
-    faults.hanging = fault.kind == FaultKind::UpstreamHangs ? Often : 0.0;
+    faults.slowFactor = fault.kind == FaultKind::UpstreamSlow ? SlowFactor : 1.0;
+    faults.failingShare = fault.kind == FaultKind::UpstreamFailing ? HighShare : 0.0;
+    faults.lostAnswerShare = fault.kind == FaultKind::UpstreamAnswersLost ? LowShare : 0.0;
+    faults.truncatedShare = fault.kind == FaultKind::UpstreamCutsAnswers ? LowShare : 0.0;
+    faults.unsignedShare = fault.kind == FaultKind::UpstreamUnsigned ? LowShare : 0.0;
+    faults.isRefusing = fault.kind == FaultKind::UpstreamRefusing;
+    faults.hangingShare = fault.kind == FaultKind::UpstreamHangs ? HighShare : 0.0;
     Member &member = deployment_.member(fault.node);
     member.upstream->faults() = faults;
     co_await sleepFor(fault.length);
     member.upstream->faults() = UpstreamFaults();
 }
 
-/// It says that it leaves, serves on for a while, and another one starts at its address.
+/// The upstream reports that it is draining and serves for a while longer. Then it exits, and another upstream starts
+/// at its address.
 asio::awaitable<void> FaultInjector::replaceUpstream(PlannedFault fault)
 {
-    if (!replaced_.insert(fault.node).second) {
+    if (!replacedUpstreams_.insert(fault.node).second) {
         co_return;
     }
     Member &member = deployment_.member(fault.node);
     deployment_.registerUpstream(member, true);
-    checker_.leaving(member.upstreamId, currentTime());
+    checker_.recordDraining(member.upstreamId, currentTime());
     member.upstream->drain();
     co_await sleepFor(DrainTime);
     deployment_.unregisterUpstream(member.upstreamId);
     member.upstream->crash();
-    co_await sleepFor(AddressPause);
+    co_await sleepFor(AddressReuseDelay);
     deployment_.startUpstream(member);
-    replaced_.erase(fault.node);
+    replacedUpstreams_.erase(fault.node);
 }
 
 asio::awaitable<void> FaultInjector::crashUpstream(PlannedFault fault)
 {
-    if (!replaced_.insert(fault.node).second) {
+    if (!replacedUpstreams_.insert(fault.node).second) {
         co_return;
     }
     Member &member = deployment_.member(fault.node);
     member.upstream->crash();
-    co_await sleepFor(LapseTime);
+    co_await sleepFor(EntryExpiryTime);
     deployment_.unregisterUpstream(member.upstreamId);
-    co_await sleepFor(AddressPause);
+    co_await sleepFor(AddressReuseDelay);
     deployment_.startUpstream(member);
-    replaced_.erase(fault.node);
+    replacedUpstreams_.erase(fault.node);
 }
 
 asio::awaitable<void> FaultInjector::crashByRequest(PlannedFault fault)
@@ -316,60 +321,60 @@
     co_await sleepFor(fault.length);
 }
 
-void FaultInjector::upstreamCrashed(Member &member)
+void FaultInjector::onUpstreamCrashed(Member &member)
 {
     asio::co_spawn(context_, restartUpstream(member), asio::detached);
 }
 
-/// Its entry lapses some time after it is there again.
+/// The entry of the crashed upstream expires some time after its successor has started.
 asio::awaitable<void> FaultInjector::restartUpstream(Member &member)
 {
-    if (!replaced_.insert(member.number).second) {
+    if (!replacedUpstreams_.insert(member.number).second) {
         co_return;
     }
-    const UpstreamName ended = member.upstreamId;
-    co_await sleepFor(CrashRestartTime);
+    const UpstreamName crashedUpstream = member.upstreamId;
+    co_await sleepFor(CrashRestartDelay);
     deployment_.startUpstream(member);
-    replaced_.erase(member.number);
-    co_await sleepFor(LapseTime);
-    deployment_.unregisterUpstream(ended);
+    replacedUpstreams_.erase(member.number);
+    co_await sleepFor(EntryExpiryTime);
+    deployment_.unregisterUpstream(crashedUpstream);
 }
 
-asio::awaitable<void> FaultInjector::pressCallers(PlannedFault fault)
+asio::awaitable<void> FaultInjector::burstCallers(PlannedFault fault)
 {
-    callers_.setPressure(BurstFactor);
+    callers_.setRateFactor(BurstRateFactor);
     co_await sleepFor(fault.length);
-    callers_.setPressure(1.0);
+    callers_.setRateFactor(1.0);
 }
 
-asio::awaitable<void> FaultInjector::haveCallersLeave(PlannedFault fault)
+asio::awaitable<void> FaultInjector::disconnectCallers(PlannedFault fault)
 {
-    callers_.setLeaving(LeavingShare);
+    callers_.setDisconnectShare(HighDisconnectShare);
     co_await sleepFor(fault.length);
-    callers_.setLeaving(UsualLeavingShare);
+    callers_.setDisconnectShare(UsualDisconnectShare);
 }
 
 asio::awaitable<void> FaultInjector::changeRoutes(PlannedFault /*fault*/)
 {
-    operators_.publishNext();
+    routePublisher_.publishNext();
     co_return;
 }
 
-asio::awaitable<void> FaultInjector::stormRoutes(PlannedFault fault)
+asio::awaitable<void> FaultInjector::publishRouteStorm(PlannedFault fault)
 {
-    for (Milliseconds passed{0}; passed < fault.length; passed += StormGap) {
-        operators_.publishNext();
-        co_await sleepFor(StormGap);
+    for (Milliseconds passed{0}; passed < fault.length; passed += StormInterval) {
+        routePublisher_.publishNext();
+        co_await sleepFor(StormInterval);
     }
 }
 
 asio::awaitable<void> FaultInjector::growRoutes(PlannedFault fault)
 {
-    operators_.setIdleRoutes(ManyRoutes);
-    operators_.publishNext();
+    routePublisher_.setIdleRoutes(ManyIdleRoutes);
+    routePublisher_.publishNext();
     co_await sleepFor(fault.length);
-    operators_.setIdleRoutes(FewRoutes);
-    operators_.publishNext();
+    routePublisher_.setIdleRoutes(UsualIdleRoutes);
+    routePublisher_.publishNext();
 }
 
 }
--- a/tests/soak/faultinjector.h
+++ b/tests/soak/faultinjector.h
@@ -14,72 +14,72 @@
 namespace Egretpath
 {
 
-/// Does to a deployment what a plan says. Thread safety: none. Precondition: references outlive the injector.
+/// Injects the faults of a plan into a deployment. Thread safety: none. Precondition: references outlive the injector.
 class FaultInjector
 {
 public:
     FaultInjector(boost::asio::io_context &context, SoakDeployment &deployment, StandinStore &store,
-                  Operators &operators, SoakCallers &callers, Disturbances &disturbances, PromiseChecker &checker,
-                  DeploymentOptions options);
+                  RoutePublisher &routePublisher, SoakCallers &callers, FaultHistory &faultHistory,
+                  PromiseChecker &checker, DeploymentOptions options);
 
-    /// From the beginning of the fault to its end; what it changed is as before then.
+    /// Applies the fault, waits until its end, and restores what it changed.
     [[nodiscard]] boost::asio::awaitable<void> inject(PlannedFault fault);
-    /// A request has ended the upstream of @p member.
-    void upstreamCrashed(Member &member);
+    /// Restarts the upstream of @p member after a request crashed it.
+    void onUpstreamCrashed(Member &member);
 
 private:
     using Action = boost::asio::awaitable<void> (FaultInjector::*)(PlannedFault);
 
-    /// One kind of fault: what it does, and whose promises it suspends.
-    struct Entry
+    /// How one kind of fault is injected, and its category.
+    struct Definition
     {
         FaultKind kind;
         Action action;
-        Disturbance disturbs;
-        /// It hits what all nodes share.
-        bool everywhere;
+        FaultCategory category;
+        /// The fault hits something that all nodes share, so it counts for all nodes.
+        bool affectsAllNodes;
     };
-    static const std::vector<Entry> Entries;
+    static const std::vector<Definition> Definitions;
 
     boost::asio::awaitable<void> killNode(PlannedFault fault);
     boost::asio::awaitable<void> pauseNode(PlannedFault fault);
     boost::asio::awaitable<void> stopNode(PlannedFault fault);
     boost::asio::awaitable<void> reloadNode(PlannedFault fault);
-    boost::asio::awaitable<void> killTogether(PlannedFault fault);
-    boost::asio::awaitable<void> harmLink(PlannedFault fault);
+    boost::asio::awaitable<void> killNodesTogether(PlannedFault fault);
+    boost::asio::awaitable<void> impairLink(PlannedFault fault);
     boost::asio::awaitable<void> resetLink(PlannedFault fault);
     boost::asio::awaitable<void> silenceLink(PlannedFault fault);
     boost::asio::awaitable<void> cutStoreLink(PlannedFault fault);
     boost::asio::awaitable<void> resetStoreLink(PlannedFault fault);
     boost::asio::awaitable<void> silenceStoreLink(PlannedFault fault);
-    boost::asio::awaitable<void> disturbStore(PlannedFault fault);
+    boost::asio::awaitable<void> impairStore(PlannedFault fault);
     boost::asio::awaitable<void> compactStore(PlannedFault fault);
-    boost::asio::awaitable<void> disturbUpstream(PlannedFault fault);
+    boost::asio::awaitable<void> impairUpstream(PlannedFault fault);
     boost::asio::awaitable<void> replaceUpstream(PlannedFault fault);
     boost::asio::awaitable<void> crashUpstream(PlannedFault fault);
     boost::asio::awaitable<void> crashByRequest(PlannedFault fault);
-    boost::asio::awaitable<void> pressCallers(PlannedFault fault);
-    boost::asio::awaitable<void> haveCallersLeave(PlannedFault fault);
+    boost::asio::awaitable<void> burstCallers(PlannedFault fault);
+    boost::asio::awaitable<void> disconnectCallers(PlannedFault fault);
     boost::asio::awaitable<void> changeRoutes(PlannedFault fault);
-    boost::asio::awaitable<void> stormRoutes(PlannedFault fault);
+    boost::asio::awaitable<void> publishRouteStorm(PlannedFault fault);
     boost::asio::awaitable<void> growRoutes(PlannedFault fault);
 
     boost::asio::awaitable<void> restartUpstream(Member &member);
     boost::asio::awaitable<void> killAndWait(Member &member);
-    boost::asio::awaitable<void> waitUntilRunning(const Member &member, unsigned boot);
+    boost::asio::awaitable<void> waitUntilRunning(const Member &member, unsigned startCount);
 
     boost::asio::io_context &context_;
     SoakDeployment &deployment_;
     StandinStore &store_;
-    Operators &operators_;
+    RoutePublisher &routePublisher_;
     SoakCallers &callers_;
-    Disturbances &disturbances_;
+    FaultHistory &faultHistory_;
     PromiseChecker &checker_;
     DeploymentOptions options_;
-    /// Members whose upstream is just being replaced: a second fault of the kind does nothing.
-    std::set<NodeNumber> replaced_;
+    /// Members whose upstream is being replaced or restarted. Another such fault at the same member does nothing.
+    std::set<NodeNumber> replacedUpstreams_;
     /// Members whose process is being stopped.
-    std::set<NodeNumber> stopping_;
+    std::set<NodeNumber> stoppingNodes_;
 };
 
 }
--- a/tests/soak/faultplan.cpp
+++ b/tests/soak/faultplan.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::array<std::string_view, FaultKindCount> Names{
+constexpr std::array<std::string_view, FaultKindCount> KindNames{
     "node-kill",
     "node-pause",
     "node-stop",
@@ -45,10 +45,11 @@
     "upstream-crashed-by-request",
 };
 
-/// Lasting 0.3 to 4 s: shorter and longer than the time-outs between nodes, and than what a planned stop takes.
-constexpr Milliseconds ShortestFault{300};
-constexpr Milliseconds LongestFault{4000};
-constexpr double SeriesShare = 0.2;
+/// Faults last 0.3 to 4 s. This range includes times shorter and longer than the timeouts between nodes and than a
+/// planned stop.
+constexpr Milliseconds MinFaultLength{300};
+constexpr Milliseconds MaxFaultLength{4000};
+constexpr double FollowUpShare = 0.2;
 constexpr double SameNodeShare = 0.5;
 
 FaultKind drawKind(const FaultPlanOptions &options, Random &random)
@@ -63,33 +64,33 @@
 
 std::string_view toString(FaultKind kind)
 {
-    return Names.at(static_cast<std::size_t>(kind));
+    return KindNames.at(static_cast<std::size_t>(kind));
 }
 
 std::optional<FaultKind> faultKindFromString(std::string_view name)
 {
-    const auto *const found = std::find(Names.begin(), Names.end(), name);
-    return found == Names.end() ? std::nullopt : std::optional(static_cast<FaultKind>(found - Names.begin()));
+    const auto *const found = std::find(KindNames.begin(), KindNames.end(), name);
+    return found == KindNames.end() ? std::nullopt : std::optional(static_cast<FaultKind>(found - KindNames.begin()));
 }
 
 std::vector<PlannedFault> drawFaults(const FaultPlanOptions &options, Random random)
 {
-    const auto between = [&random](Milliseconds least, Milliseconds most) {
-        return Milliseconds(std::uniform_int_distribution<Milliseconds::rep>(least.count(), most.count())(random));
+    const auto drawBetween = [&random](Milliseconds min, Milliseconds max) {
+        return Milliseconds(std::uniform_int_distribution<Milliseconds::rep>(min.count(), max.count())(random));
     };
-    const auto node = [&random, &options] {
+    const auto drawNode = [&random, &options] {
         return std::uniform_int_distribution<NodeNumber>(0, options.nodes - 1)(random);
     };
     std::vector<PlannedFault> plan;
-    const Milliseconds end = options.length - options.quietEnd;
-    for (Milliseconds at = between(Milliseconds{0}, options.gap); at < end;
-         at += between(options.gap / 2, options.gap * 2)) {
-        PlannedFault fault{at, drawKind(options, random), node(), between(ShortestFault, LongestFault)};
+    const Milliseconds end = options.length - options.faultFreeEnd;
+    for (Milliseconds at = drawBetween(Milliseconds{0}, options.gap); at < end;
+         at += drawBetween(options.gap / 2, options.gap * 2)) {
+        PlannedFault fault{at, drawKind(options, random), drawNode(), drawBetween(MinFaultLength, MaxFaultLength)};
         fault.length = std::min(fault.length, end - at);
         plan.push_back(fault);
-        if (std::bernoulli_distribution(SeriesShare)(random)) {
-            fault.node = std::bernoulli_distribution(SameNodeShare)(random) ? fault.node : node();
-            fault.at = std::min(at + fault.length + between(Milliseconds{0}, ShortestFault), end);
+        if (std::bernoulli_distribution(FollowUpShare)(random)) {
+            fault.node = std::bernoulli_distribution(SameNodeShare)(random) ? fault.node : drawNode();
+            fault.at = std::min(at + fault.length + drawBetween(Milliseconds{0}, MinFaultLength), end);
             plan.push_back(fault);
         }
     }
--- a/tests/soak/faultplan.h
+++ b/tests/soak/faultplan.h
@@ -13,7 +13,7 @@
 namespace Egretpath
 {
 
-/// What the soak does to the deployment, from outside.
+/// The kinds of faults that the soak injects into the deployment from outside.
 enum class FaultKind : std::uint8_t {
     NodeKill,
     NodePause,
@@ -46,7 +46,7 @@
     RoutesChange,
     RoutesStorm,
     RoutesGrow,
-    // New kinds stand at the end, so that seeds that failed before them keep their plans.
+    // New kinds are added at the end, so that the seeds of earlier failures keep their plans.
     UpstreamHangs,
     UpstreamCrashedByRequest,
 };
@@ -54,16 +54,16 @@
 inline constexpr std::size_t FaultKindCount = 33;
 
 [[nodiscard]] std::string_view toString(FaultKind kind);
-/// Nothing for a name that is none. Thread safety: safe.
+/// Returns nothing for an unknown name. Thread safety: safe.
 [[nodiscard]] std::optional<FaultKind> faultKindFromString(std::string_view name);
 
-/// One fault at its time.
+/// One fault of a plan, with its time.
 struct PlannedFault
 {
-    /// From the start of the load.
+    /// Time from the start of the load.
     Milliseconds at{0};
     FaultKind kind = FaultKind::NodeKill;
-    /// The node that it hits, or whose upstream or links.
+    /// The node that is hit itself, or whose upstream or links are hit.
     NodeNumber node = 0;
     Milliseconds length{0};
 };
@@ -71,19 +71,20 @@
 struct FaultPlanOptions
 {
     Milliseconds length{20'000};
-    /// The end of the run is left without faults, to see whether all comes back.
-    Milliseconds quietEnd{6000};
+    /// Time at the end of the run without faults, in which the deployment must recover.
+    Milliseconds faultFreeEnd{6000};
     std::size_t nodes = 9;
-    /// Mean time from one fault to the next. Faults last longer than that, so that they overlap.
+    /// Sets the time from one fault to the next, which is drawn between half of it and twice it. Most faults last
+    /// longer, so that they overlap.
     Milliseconds gap{700};
-    /// Kinds to draw from; if empty, the first `knownKinds` of all.
+    /// Kinds to draw from. If empty, the first `knownKinds` kinds are drawn from.
     std::vector<FaultKind> kinds;
-    /// A seed draws the same plan for as long as this is the same.
+    /// Number of kinds to draw from. A seed draws the same plan only while this number is the same.
     std::size_t knownKinds = FaultKindCount;
 };
 
-/// Draws faults. The same generator gives the same plan. Faults come in series: some strike again at once, at the same
-/// node or at another. Thread safety: safe.
+/// Draws a plan of faults. The same generator state gives the same plan. Some faults are followed by a second fault of
+/// the same kind, at the same node or at another, soon after their end. Thread safety: safe.
 [[nodiscard]] std::vector<PlannedFault> drawFaults(const FaultPlanOptions &options, Random random);
 
 }
--- a/tests/soak/faultplantest.cpp
+++ b/tests/soak/faultplantest.cpp
@@ -6,7 +6,7 @@
 
 using namespace Egretpath;
 
-TEST_CASE("the same seed plans the same faults, another one others")
+TEST_CASE("the same seed plans the same faults, and another seed plans others")
 {
     const FaultPlanOptions options;
     const auto first = drawFaults(options, Random(7));
@@ -22,7 +22,7 @@
     CHECK(differs);
 }
 
-TEST_CASE("faults overlap, end before the quiet time, and all kinds come up")
+TEST_CASE("faults overlap, start before the fault-free end, and include every kind")
 {
     FaultPlanOptions options;
     options.length = Milliseconds(200'000);
@@ -31,7 +31,7 @@
     int overlaps = 0;
     for (std::size_t index = 0; index < plan.size(); ++index) {
         kinds.insert(plan[index].kind);
-        CHECK(plan[index].at <= options.length - options.quietEnd);
+        CHECK(plan[index].at <= options.length - options.faultFreeEnd);
         overlaps += index > 0 && plan[index].at < plan[index - 1].at + plan[index - 1].length ? 1 : 0;
     }
     CHECK(kinds.size() == FaultKindCount);
--- a/tests/soak/nodeprocess.cpp
+++ b/tests/soak/nodeprocess.cpp
@@ -21,15 +21,16 @@
 constexpr mode_t LogMode = 0644;
 constexpr int ExitNotStarted = 127;
 
-/// In the child, up to the program that it becomes. Only calls that are safe after fork().
-[[noreturn]] void becomeProgram(const char *log, const std::array<char *, 4> &arguments)
+/// Runs in the child process and replaces it by the program. May use only calls that are safe after fork().
+[[noreturn]] void executeProgram(const char *log, const std::array<char *, 4> &arguments)
 {
-    // The nodes end with the soak, also when that is killed: nobody else knows their ids.
+    // The kernel kills the node when the soak exits, even if the soak is killed, because no other process knows the
+    // node's id.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int output = open(log, O_WRONLY | O_CREAT | O_APPEND, LogMode);
     dup2(output, STDOUT_FILENO);
     dup2(output, STDERR_FILENO);
-    // Inherited listeners would keep the soak's addresses in use.
+    // Inherited listening sockets would keep the soak's addresses in use.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execv(arguments[0], arguments.data());
     _exit(ExitNotStarted);
@@ -46,7 +47,7 @@
 
 NodeProcess::~NodeProcess()
 {
-    if (runs()) {
+    if (isRunning()) {
         signal(SIGKILL);
         waitpid(process_, nullptr, 0);
     }
@@ -61,23 +62,23 @@
     const std::array<char *, 4> arguments{program.data(), option.data(), settings.data(), nullptr};
     process_ = fork();
     if (process_ == 0) {
-        becomeProgram(log.c_str(), arguments);
+        executeProgram(log.c_str(), arguments);
     }
     if (process_ < 0) {
         process_ = 0;
         throw std::runtime_error(program + ": " + std::strerror(errno));
     }
-    ++boot_;
+    ++startCount_;
 }
 
 void NodeProcess::signal(int number)
 {
-    if (runs()) {
+    if (isRunning()) {
         kill(process_, number);
     }
 }
 
-ProcessEnd NodeProcess::collectEnd()
+ProcessExit NodeProcess::reapChild()
 {
     int status = 0;
     const pid_t process = waitpid(-1, &status, WNOHANG);
--- a/tests/soak/operators.cpp
+++ b/tests/soak/operators.cpp
@@ -19,8 +19,8 @@
 {
 
 constexpr std::string_view ConfigKey = "op/config";
-/// How many of the added routes stay.
-constexpr unsigned AddedRoutesKept = 2;
+/// Number of added routes that a version contains; older ones are removed.
+constexpr unsigned MaxAddedRoutes = 2;
 
 std::string milliseconds(Milliseconds duration)
 {
@@ -34,7 +34,7 @@
     return text.data();
 }
 
-std::string_view kindWord(RequestKind kind)
+std::string_view kindName(RequestKind kind)
 {
     switch (kind) {
     case RequestKind::Safe:
@@ -57,30 +57,30 @@
     return route;
 }
 
-CallerRoute makeCheck(const char *key, const char *service)
+CallerRoute makeCheckRoute(const char *key, const char *service)
 {
     CallerRoute route = makeRoute(key, RequestKind::Safe, service, 0.0);
     route.target = Milliseconds(100);
     route.timeout = Milliseconds(300);
-    route.patience = Milliseconds(250);
+    route.callerTimeout = Milliseconds(250);
     return route;
 }
 
-json::object ruleOf(const CallerRoute &route)
+json::object makeRule(const CallerRoute &route)
 {
     json::object action{
         {"service", route.service.value()}, {"timeout", milliseconds(route.timeout)}, {"max_attempts", 3}};
     return {{"name", route.key.value()},
-            {"kind", kindWord(route.kind)},
+            {"kind", kindName(route.kind)},
             {"target_latency", milliseconds(route.target)},
             {"priority", route.priority},
-            {"match", json::object{{"prefix", Operators::prefixOf(route.key)}}},
+            {"match", json::object{{"prefix", RoutePublisher::prefixOf(route.key)}}},
             {"action", std::move(action)}};
 }
 
 }
 
-Operators::Operators(StandinStore &store, PublishedVersions &versions, Random random)
+RoutePublisher::RoutePublisher(StandinStore &store, PublishedVersions &versions, Random random)
     : store_(store)
     , versions_(versions)
     , random_(random)
@@ -88,46 +88,46 @@
               makeRoute("pay", RequestKind::Unsafe, "arrangements", 0.25),
               makeRoute("upload", RequestKind::Upload, "intake", 0.08),
               makeRoute("file", RequestKind::Unsafe, "intake", 0.12),
-              makeCheck("rate", "arrangements"),
-              makeCheck("eligible", "intake")}
+              makeCheckRoute("rate", "arrangements"),
+              makeCheckRoute("eligible", "intake")}
 {
 }
 
-std::string Operators::prefixOf(const RouteKey &route)
+std::string RoutePublisher::prefixOf(const RouteKey &route)
 {
     return "/" + route.value() + "/";
 }
 
-CallerRoute Operators::movingRoute() const
+CallerRoute RoutePublisher::movingRoute() const
 {
-    return makeRoute("moving", RequestKind::Safe, published_ % 2 == 0 ? "statements" : "arrangements", 0.03);
+    return makeRoute("moving", RequestKind::Safe, publishedCount_ % 2 == 0 ? "statements" : "arrangements", 0.03);
 }
 
-CallerRoute Operators::newestRoute() const
+CallerRoute RoutePublisher::newestRoute() const
 {
-    return makeRoute(("new-" + std::to_string(published_)).c_str(), RequestKind::Safe, "statements", 0.02);
+    return makeRoute(("new-" + std::to_string(publishedCount_)).c_str(), RequestKind::Safe, "statements", 0.02);
 }
 
-std::vector<CallerRoute> Operators::currentRoutes() const
+std::vector<CallerRoute> RoutePublisher::currentRoutes() const
 {
     std::vector<CallerRoute> routes = routes_;
     routes.push_back(movingRoute());
-    for (unsigned back = 0; back < AddedRoutesKept && back < published_; ++back) {
+    for (unsigned back = 0; back < MaxAddedRoutes && back < publishedCount_; ++back) {
         CallerRoute route = newestRoute();
-        route.key = RouteKey("new-" + std::to_string(published_ - back));
+        route.key = RouteKey("new-" + std::to_string(publishedCount_ - back));
         routes.push_back(std::move(route));
     }
     return routes;
 }
 
-std::string Operators::configText(const std::vector<CallerRoute> &routes) const
+std::string RoutePublisher::configText(const std::vector<CallerRoute> &routes) const
 {
     json::array rules;
     for (const CallerRoute &route : routes) {
-        rules.push_back(ruleOf(route));
+        rules.push_back(makeRule(route));
     }
     for (unsigned number = 0; number < idleRoutes_; ++number) {
-        rules.push_back(ruleOf(makeCheck(("idle-" + std::to_string(number)).c_str(), "intake")));
+        rules.push_back(makeRule(makeCheckRoute(("idle-" + std::to_string(number)).c_str(), "intake")));
     }
     json::array clusters;
     for (const char *service : {"statements", "arrangements", "intake"}) {
@@ -141,9 +141,9 @@
     return json::serialize(config);
 }
 
-void Operators::publishNext()
+void RoutePublisher::publishNext()
 {
-    ++published_;
+    ++publishedCount_;
     constexpr std::uint64_t LargestStep = 7;
     version_ += 1 + random_() % LargestStep;
     const std::vector<CallerRoute> routes = currentRoutes();
@@ -155,10 +155,10 @@
     store_.put(std::string(ConfigKey), configText(routes));
 }
 
-void Operators::publishBroken()
+void RoutePublisher::publishInvalid()
 {
-    const std::string whole = configText(currentRoutes());
-    store_.put(std::string(ConfigKey), whole.substr(0, whole.size() / 2));
+    const std::string completeText = configText(currentRoutes());
+    store_.put(std::string(ConfigKey), completeText.substr(0, completeText.size() / 2));
 }
 
 }
--- a/tests/soak/operators.h
+++ b/tests/soak/operators.h
@@ -20,29 +20,30 @@
     ServiceName service;
     Milliseconds target{300};
     Milliseconds timeout{900};
-    /// How long its callers wait.
-    Milliseconds patience{1500};
+    /// How long a caller of this route waits for the answer.
+    Milliseconds callerTimeout{1500};
     std::uint32_t priority = 2;
-    /// Of all requests; zero for calls that only upstreams make.
+    /// Share of all requests; zero for a route that only upstreams call.
     double share = 0.0;
 };
 
-/// Publishes routes in the store, as the operators do. Thread safety: none.
-class Operators
+/// Publishes versions of the routes in the store, as operators do. Thread safety: none.
+class RoutePublisher
 {
 public:
-    Operators(StandinStore &store, PublishedVersions &versions, Random random);
+    RoutePublisher(StandinStore &store, PublishedVersions &versions, Random random);
 
-    /// Publishes the next version: a route is added, one of the newer ones goes, and one moves to another service.
+    /// Publishes the next version. It adds one route, removes the oldest added route once there are more than two of
+    /// these, and moves one route to another service.
     void publishNext();
-    /// A text that is no configuration: what is in force has to stay.
-    void publishBroken();
-    /// From now on the configuration has @p count routes that nobody uses.
+    /// Publishes a text that is no valid configuration. The nodes must keep their active routes.
+    void publishInvalid();
+    /// Sets the number of routes that no caller uses; later versions contain them.
     void setIdleRoutes(unsigned count) { idleRoutes_ = count; }
 
-    /// Routes that are always there.
+    /// Routes that every version contains.
     [[nodiscard]] const std::vector<CallerRoute> &routes() const { return routes_; }
-    /// The route that moves between services.
+    /// The route that moves between services, as the newest version has it.
     [[nodiscard]] CallerRoute movingRoute() const;
     /// The route that the newest version added.
     [[nodiscard]] CallerRoute newestRoute() const;
@@ -58,8 +59,8 @@
     Random random_;
     std::vector<CallerRoute> routes_;
     std::uint64_t version_ = 0;
-    /// Counts published versions: numbers rise in uneven steps.
-    unsigned published_ = 0;
+    /// Number of published versions. Version numbers rise in uneven steps, so they differ from this count.
+    unsigned publishedCount_ = 0;
     unsigned idleRoutes_ = 8;
 };
 
--- a/tests/soak/promisechecker.h
+++ b/tests/soak/promisechecker.h
@@ -21,10 +21,10 @@
 struct SentAttempt
 {
     RequestId id;
-    /// The node that it was sent to.
+    /// The node that the attempt was sent to.
     NodeNumber node = 0;
-    /// Which run of that node's process.
-    unsigned boot = 0;
+    /// Number of starts of that node's process so far; identifies the process that got the attempt.
+    unsigned nodeStartCount = 0;
     RouteKey route;
     RequestKind kind = RequestKind::Safe;
     std::string method;
@@ -32,78 +32,79 @@
     std::string bodyDigest;
     /// The service that runs on the VM of the caller.
     ServiceName callerService;
-    Milliseconds patience{0};
-    /// After this time the route wants it ended with an answer.
+    Milliseconds callerTimeout{0};
+    /// The attempt has to be answered within this time: the route's timeout, or that of the caller if it is shorter.
     Milliseconds timeout{0};
     TimePoint at;
-    /// A call that an upstream makes while it works; its end may be cut with that work.
-    bool inner = false;
-    /// It ends upstreams, or its upstream makes a call that does.
-    bool crashing = false;
+    /// Whether an upstream made this call while it worked on a request. The call may be cut off when that work ends.
+    bool isInner = false;
+    /// Whether the request crashes upstreams, or makes its upstream send a call that does.
+    bool isCrashing = false;
 };
 
-/// What the caller of an attempt got.
-struct AttemptEnd
+/// The result of an attempt, as its caller saw it.
+struct AttemptResult
 {
-    /// Zero: the connection ended without a whole answer.
+    /// Zero if the connection ended without a complete answer.
     std::uint16_t status = 0;
     std::string signature;
     std::string echoedId;
     std::string bodyDigest;
-    /// No byte of the request left, or the connection could not be made.
-    bool notSent = false;
-    /// The caller closed the connection itself.
-    bool callerLeft = false;
-    TimePoint leftAt;
-    /// When to come back; zero if nothing was said.
+    /// Whether no byte of the request was sent, or no connection was made.
+    bool isUnsent = false;
+    /// Whether the caller closed the connection itself.
+    bool callerDisconnected = false;
+    TimePoint disconnectedAt;
+    /// Value of Retry-After; zero if the answer had none.
     Milliseconds retryAfter{0};
     TimePoint at;
 };
 
-/// Tolerances and bounds of the promises.
+/// Bounds and tolerances of the promises.
 struct PromiseBounds
 {
-    /// Changes of routes are in force, and leaving upstreams get nothing more, within this time.
-    Milliseconds config{2000};
+    /// Time within which a change of the routes becomes active at all nodes.
+    Milliseconds routeChange{2000};
+    /// Time after which a draining upstream gets no more requests.
     Milliseconds drain{2000};
-    /// Added to each bound of time, since the machine that runs the soak has other work too.
+    /// Added to each time bound, since the machine that runs the soak may be busy with other work.
     Milliseconds slack{500};
     double repeatRatio = 0.2;
     double repeatSlack = 40;
     Milliseconds repeatWindow{10'000};
-    /// In which nodes tell each other of a request that ends upstreams.
-    Milliseconds crashNews{3000};
+    /// Time within which the nodes report to each other a request that crashes upstreams.
+    Milliseconds quarantineGossip{3000};
 };
 
-/// Holds what callers and upstreams saw against the promises, while it happens and at the end.
+/// Checks the promises against what callers and upstreams observe, during the run and at its end.
 ///
-/// Everything that it knows was seen on sockets by callers and upstreams, or done by the soak itself; it reads nothing
-/// of the nodes. Thread safety: none.
+/// It uses only what callers and upstreams saw on their sockets and what the soak itself did. It reads no internal
+/// state of the nodes. Thread safety: none.
 class PromiseChecker final : public UpstreamObserver
 {
 public:
-    PromiseChecker(PromiseBounds bounds, const Disturbances &disturbances, StallWatch &stalls,
+    PromiseChecker(PromiseBounds bounds, const FaultHistory &faultHistory, StallDetector &stallDetector,
                    const PublishedVersions &versions);
 
-    void sent(const SentAttempt &attempt);
-    void ended(const RequestId &attempt, const AttemptEnd &end);
-    /// @p upstream stands beside @p node.
-    void placed(const UpstreamName &upstream, NodeNumber node);
-    /// @p upstream said or had it said that it leaves.
-    void leaving(const UpstreamName &upstream, TimePoint at);
-    /// A process that nobody ended is gone.
-    void crashed(NodeNumber node, const std::string &how);
-    /// Something that the soak itself checks failed.
-    void violated(const std::string &promise, const std::string &what);
+    void recordSent(const SentAttempt &attempt);
+    void recordResult(const RequestId &attempt, const AttemptResult &result);
+    /// Records that @p upstream runs beside @p node.
+    void recordPlacement(const UpstreamName &upstream, NodeNumber node);
+    /// Records that @p upstream announced, itself or through its store entry, that it is draining.
+    void recordDraining(const UpstreamName &upstream, TimePoint at);
+    /// Records a violation: the process of @p node exited although the soak did not ask for it.
+    void recordUnexpectedExit(NodeNumber node, const std::string &reason);
+    /// Records a violation that was found outside this class.
+    void recordViolation(const std::string &promise, const std::string &detail);
 
     // UpstreamObserver
-    void arrived(const UpstreamName &upstream, const ServiceName &service, const ArrivedRequest &request) override;
-    void runStarted(const UpstreamName &upstream, const ServiceName &service, const ArrivedRequest &request) override;
-    void runEnded(const RequestId &attempt) override;
-    void answered(const MadeAnswer &answer) override;
-    void crashedBy(const UpstreamName &upstream, const ArrivedRequest &request) override;
+    void onArrived(const UpstreamName &upstream, const ServiceName &service, const ArrivedRequest &request) override;
+    void onRunStarted(const UpstreamName &upstream, const ServiceName &service, const ArrivedRequest &request) override;
+    void onRunFinished(const RequestId &attempt) override;
+    void onAnswered(const UpstreamAnswer &answer) override;
+    void onCrashedBy(const UpstreamName &upstream, const ArrivedRequest &request) override;
 
-    /// Checks what only shows at the end.
+    /// Runs the checks that are only possible at the end of the run.
     void finish();
     [[nodiscard]] const std::vector<std::string> &violations() const { return violations_; }
     [[nodiscard]] std::string summary() const;
@@ -115,11 +116,11 @@
         std::uint64_t refused = 0;
         std::uint64_t unknown = 0;
         std::uint64_t runs = 0;
-        std::uint64_t leftByCallers = 0;
-        /// Ends of upstreams by requests.
+        std::uint64_t callerDisconnects = 0;
+        /// Crashes of upstreams that requests caused.
         std::uint64_t crashes = 0;
-        /// Proper requests that were refused as such ones are.
-        std::uint64_t accused = 0;
+        /// Requests that crash no upstream and were refused as if they did.
+        std::uint64_t wronglyQuarantined = 0;
     };
     [[nodiscard]] const Counts &counts() const { return counts_; }
 
@@ -128,24 +129,24 @@
     {
         UpstreamName upstream;
         ServiceName service;
-        TimePoint began;
-        std::optional<TimePoint> ended;
+        TimePoint startedAt;
+        std::optional<TimePoint> finishedAt;
     };
 
     struct Attempt
     {
         SentAttempt sent;
         std::vector<Run> runs;
-        std::vector<MadeAnswer> answers;
+        std::vector<UpstreamAnswer> answers;
         unsigned arrivals = 0;
-        std::optional<AttemptEnd> end;
+        std::optional<AttemptResult> result;
     };
 
-    /// A request that ends upstreams.
+    /// A request that crashes upstreams.
     struct CrashingRequest
     {
         std::vector<TimePoint> crashes;
-        /// Later runs than the third crash excuses.
+        /// Runs that started more than the gossip time after the third crash.
         std::size_t lateRuns = 0;
     };
 
@@ -155,16 +156,17 @@
         std::vector<TimePoint> repeats;
     };
 
-    /// One run of a node's process.
-    struct Boot
+    /// One process of a node, from its start to its exit.
+    struct NodeRun
     {
         NodeNumber node = 0;
         unsigned number = 0;
 
-        friend auto operator<=>(const Boot &, const Boot &) = default;
+        friend auto operator<=>(const NodeRun &, const NodeRun &) = default;
     };
 
-    /// The newest version of the routes whose effect a boot has shown, and when it was first seen.
+    /// The newest version of the routes that one process of a node is known to have used, and when this was first
+    /// observed.
     struct SeenVersion
     {
         std::uint64_t number = 0;
@@ -173,38 +175,38 @@
 
     void checkRequest(const Attempt &attempt, const UpstreamName &upstream, const ArrivedRequest &request);
     void checkDeadline(const Attempt &attempt, const UpstreamName &upstream, const ArrivedRequest &request);
-    /// Precondition: the attempt's newest run has just begun at @p upstream.
-    void checkCrashing(const Attempt &attempt, const UpstreamName &upstream);
-    void checkLeaving(const Attempt &attempt, const UpstreamName &upstream);
+    /// Precondition: the attempt's latest run has just started at @p upstream.
+    void checkCrashingRequest(const Attempt &attempt, const UpstreamName &upstream);
+    void checkDraining(const Attempt &attempt, const UpstreamName &upstream);
     void checkRouting(const Attempt &attempt, const ServiceName &service);
-    void checkNotBack(const Attempt &attempt, std::uint64_t oldest, std::uint64_t newest);
+    void checkNoRollback(const Attempt &attempt, std::uint64_t oldest, std::uint64_t newest);
     void checkAnswer(const Attempt &attempt);
-    void checkRefusedRoute(const Attempt &attempt);
-    void checkInTime(const Attempt &attempt);
+    void checkNotFound(const Attempt &attempt);
+    void checkTimeout(const Attempt &attempt);
     void checkAttempt(const Attempt &attempt);
-    void checkLost(const Attempt &attempt);
-    void checkGone(const Attempt &attempt);
+    void checkCutOff(const Attempt &attempt);
+    void checkDisconnected(const Attempt &attempt);
     void checkRepeats();
-    [[nodiscard]] bool isInTouch(const Attempt &attempt, TimePoint until) const;
-    /// Whether the node beside @p upstream was not hit either.
-    [[nodiscard]] bool isCalmAt(const UpstreamName &upstream, TimePoint from, TimePoint to) const;
-    void violate(const char *promise, const Attempt &attempt, const std::string &what);
+    [[nodiscard]] bool isNodeFaultFree(const Attempt &attempt, TimePoint until) const;
+    /// Whether no unplanned fault hit the node beside @p upstream.
+    [[nodiscard]] bool isUpstreamNodeFaultFree(const UpstreamName &upstream, TimePoint from, TimePoint to) const;
+    void recordAttemptViolation(const char *promise, const Attempt &attempt, const std::string &detail);
 
     PromiseBounds bounds_;
-    const Disturbances &disturbances_;
-    StallWatch &stalls_;
+    const FaultHistory &faultHistory_;
+    StallDetector &stallDetector_;
     const PublishedVersions &versions_;
     TimePoint start_;
     std::unordered_map<RequestId, Attempt> attempts_;
-    std::map<UpstreamName, TimePoint> leavingSince_;
+    std::map<UpstreamName, TimePoint> drainingSince_;
     std::map<ServiceName, Arrivals> arrivals_;
-    std::map<UpstreamName, NodeNumber> places_;
-    std::map<Boot, SeenVersion> seenVersions_;
-    /// By path.
-    std::map<std::string, CrashingRequest> crashing_;
+    std::map<UpstreamName, NodeNumber> upstreamNodes_;
+    std::map<NodeRun, SeenVersion> seenVersions_;
+    /// Keyed by request path.
+    std::map<std::string, CrashingRequest> crashingRequests_;
     std::vector<std::string> violations_;
-    /// Findings that count only when there are more than a few.
-    std::map<std::string, std::vector<std::string>> few_;
+    /// Findings by promise that are violations only if there are more than a few of them.
+    std::map<std::string, std::vector<std::string>> toleratedFindings_;
     Counts counts_;
 };
 
--- a/tests/soak/promisecheckertest.cpp
+++ b/tests/soak/promisecheckertest.cpp
@@ -15,53 +15,53 @@
 const UpstreamName Upstream("u1");
 const ServiceName Payments("arrangements");
 
-/// A checker with one published version and one attempt that was sent.
-struct Checked
+/// A checker with one published version of the routes and one attempt that was sent.
+struct CheckedAttempt
 {
-    explicit Checked(const PromiseBounds &bounds = PromiseBounds())
-        : checker(bounds, disturbances, stalls, versions)
+    explicit CheckedAttempt(const PromiseBounds &bounds = PromiseBounds())
+        : checker(bounds, faultHistory, stallDetector, versions)
     {
         versions.publish({5, currentTime() - std::chrono::seconds(10), {{RouteKey("pay"), Payments}}});
         attempt.id = RequestId("a1");
-        attempt.boot = 1;
+        attempt.nodeStartCount = 1;
         attempt.route = RouteKey("pay");
         attempt.kind = RequestKind::Unsafe;
         attempt.method = "POST";
         attempt.target = "/pay/1";
         attempt.bodyDigest = "d";
         attempt.callerService = ServiceName("intake");
-        attempt.patience = Milliseconds(1500);
+        attempt.callerTimeout = Milliseconds(1500);
         attempt.timeout = Milliseconds(900);
         attempt.at = currentTime();
-        checker.sent(attempt);
+        checker.recordSent(attempt);
         arrival = {attempt.id, "POST", "/pay/1", "d", attempt.callerService, Milliseconds(800)};
     }
 
     void runAt(const UpstreamName &upstream, const ServiceName &service = Payments)
     {
-        checker.arrived(upstream, service, arrival);
-        checker.runStarted(upstream, service, arrival);
-        checker.runEnded(attempt.id);
+        checker.onArrived(upstream, service, arrival);
+        checker.onRunStarted(upstream, service, arrival);
+        checker.onRunFinished(attempt.id);
     }
 
-    void endWith(std::uint16_t status, const std::string &signature = {}, const std::string &body = "b")
+    void finishWith(std::uint16_t status, const std::string &signature = {}, const std::string &body = "b")
     {
-        AttemptEnd end;
-        end.status = status;
-        end.signature = signature;
-        end.bodyDigest = body;
-        end.at = currentTime();
-        checker.ended(attempt.id, end);
+        AttemptResult result;
+        result.status = status;
+        result.signature = signature;
+        result.bodyDigest = body;
+        result.at = currentTime();
+        checker.recordResult(attempt.id, result);
     }
 
-    /// As many attempts that were sent five seconds ago are answered now.
-    void answerLate(int attempts)
+    /// Sends @p attempts attempts with a send time five seconds ago and answers each of them now.
+    void answerAfterTimeout(int attempts)
     {
         for (int number = 0; number < attempts; ++number) {
             attempt.id = RequestId("late" + std::to_string(number));
             attempt.at = currentTime() - std::chrono::seconds(5);
-            checker.sent(attempt);
-            endWith(504);
+            checker.recordSent(attempt);
+            finishWith(504);
         }
     }
 
@@ -71,13 +71,13 @@
         return checker.violations().empty() ? std::string() : checker.violations().front();
     }
 
-    [[nodiscard]] bool breaks(const std::string &promise)
+    [[nodiscard]] bool violates(const std::string &promise)
     {
         return firstViolation().find(": " + promise + ": ") != std::string::npos;
     }
 
-    Disturbances disturbances{Milliseconds(3000)};
-    StallWatch stalls{disturbances};
+    FaultHistory faultHistory{Milliseconds(3000)};
+    StallDetector stallDetector{faultHistory};
     PublishedVersions versions;
     PromiseChecker checker;
     SentAttempt attempt;
@@ -86,156 +86,158 @@
 
 }
 
-TEST_CASE("a request that ran once and was answered breaks nothing")
+TEST_CASE("a request that ran once and was answered violates no promise")
 {
-    Checked run;
-    run.runAt(Upstream);
-    run.checker.answered({run.attempt.id, 200, "s1", "b"});
-    run.endWith(200, "s1");
-    CHECK(run.firstViolation().empty());
+    CheckedAttempt checked;
+    checked.runAt(Upstream);
+    checked.checker.onAnswered({checked.attempt.id, 200, "s1", "b"});
+    checked.finishWith(200, "s1");
+    CHECK(checked.firstViolation().empty());
 }
 
-TEST_CASE("each broken promise is seen")
+TEST_CASE("each violated promise is reported")
 {
-    Checked run;
+    CheckedAttempt checked;
     SECTION("a payment that runs twice")
     {
-        run.runAt(Upstream);
-        run.runAt(UpstreamName("u2"));
-        CHECK(run.breaks("at most once"));
+        checked.runAt(Upstream);
+        checked.runAt(UpstreamName("u2"));
+        CHECK(checked.violates("at most once"));
     }
-    SECTION("a refusal of what ran")
+    SECTION("a refusal of a request that ran")
     {
-        run.runAt(Upstream);
-        run.endWith(503);
-        CHECK(run.breaks("a refusal is true"));
+        checked.runAt(Upstream);
+        checked.finishWith(503);
+        CHECK(checked.violates("a refusal is true"));
     }
     SECTION("a run after the refusal")
     {
-        run.endWith(503);
-        run.runAt(Upstream);
-        CHECK(run.breaks("a refusal is true"));
+        checked.finishWith(503);
+        checked.runAt(Upstream);
+        CHECK(checked.violates("a refusal is true"));
     }
     SECTION("an answer that no upstream gave to this request")
     {
-        run.runAt(Upstream);
-        run.checker.answered({run.attempt.id, 200, "s1", "b"});
-        run.endWith(200, "s2");
-        CHECK(run.breaks("each caller its own answer"));
+        checked.runAt(Upstream);
+        checked.checker.onAnswered({checked.attempt.id, 200, "s1", "b"});
+        checked.finishWith(200, "s2");
+        CHECK(checked.violates("each caller its own answer"));
     }
     SECTION("an answer with another body")
     {
-        run.runAt(Upstream);
-        run.checker.answered({run.attempt.id, 200, "s1", "b"});
-        run.endWith(200, "s1", "half of b");
-        CHECK(run.breaks("whole answers"));
+        checked.runAt(Upstream);
+        checked.checker.onAnswered({checked.attempt.id, 200, "s1", "b"});
+        checked.finishWith(200, "s1", "half of b");
+        CHECK(checked.violates("whole answers"));
     }
-    SECTION("a success without the upstream's word")
+    SECTION("a success without the upstream's signature")
     {
-        run.endWith(200);
-        CHECK(run.breaks("whole answers"));
+        checked.finishWith(200);
+        CHECK(checked.violates("whole answers"));
     }
     SECTION("a request that was changed on its way")
     {
-        run.arrival.target = "/pay/2";
-        run.runAt(Upstream);
-        CHECK(run.breaks("only what was asked for"));
+        checked.arrival.target = "/pay/2";
+        checked.runAt(Upstream);
+        CHECK(checked.violates("only what was asked for"));
     }
     SECTION("a request that nobody sent")
     {
-        run.arrival.attempt = RequestId("a2");
-        run.checker.arrived(Upstream, Payments, run.arrival);
-        CHECK(run.breaks("only what was asked for"));
+        checked.arrival.attempt = RequestId("a2");
+        checked.checker.onArrived(Upstream, Payments, checked.arrival);
+        CHECK(checked.violates("only what was asked for"));
     }
     SECTION("a run by another service")
     {
-        run.runAt(Upstream, ServiceName("statements"));
-        CHECK(run.breaks("the right service"));
+        checked.runAt(Upstream, ServiceName("statements"));
+        CHECK(checked.violates("the right service"));
     }
-    SECTION("a route that is said not to exist")
+    SECTION("a published route that is answered with 404")
     {
-        run.endWith(404);
-        CHECK(run.breaks("routes in force in time"));
+        checked.finishWith(404);
+        CHECK(checked.violates("routes in force in time"));
     }
-    SECTION("work for an upstream that has left")
+    SECTION("a run at an upstream that is draining")
     {
-        run.checker.leaving(Upstream, currentTime() - std::chrono::seconds(20));
-        run.runAt(Upstream);
-        CHECK(run.breaks("nothing for those that leave"));
+        checked.checker.recordDraining(Upstream, currentTime() - std::chrono::seconds(20));
+        checked.runAt(Upstream);
+        CHECK(checked.violates("nothing for those that leave"));
     }
     SECTION("a process that ends by itself")
     {
-        run.checker.crashed(3, "signal 11");
-        CHECK(run.breaks("runs on"));
+        checked.checker.recordUnexpectedExit(3, "signal 11");
+        CHECK(checked.violates("runs on"));
     }
 }
 
-TEST_CASE("what a node was hit by excuses its bounds of time, and not what may never happen")
+TEST_CASE("a fault of a node suspends its time bounds, but never the promise that a request runs at most once")
 {
-    Checked run;
-    run.disturbances.begin(0, Disturbance::Unplanned, run.attempt.at);
-    run.checker.leaving(Upstream, currentTime() - std::chrono::seconds(20));
-    run.runAt(Upstream);
-    CHECK(run.firstViolation().empty());
-    run.runAt(UpstreamName("u2"));
-    CHECK(run.breaks("at most once"));
+    CheckedAttempt checked;
+    checked.faultHistory.begin(0, FaultCategory::Unplanned, checked.attempt.at);
+    checked.checker.recordDraining(Upstream, currentTime() - std::chrono::seconds(20));
+    checked.runAt(Upstream);
+    CHECK(checked.firstViolation().empty());
+    checked.runAt(UpstreamName("u2"));
+    CHECK(checked.violates("at most once"));
 }
 
-// Guards against a check that never fails: what is sent on after the third end shows.
-TEST_CASE("a request that ends upstreams may run three times more once nodes had time to tell each other")
+// Guards against a check that never fails: the checker must report runs that continue after the third crash.
+TEST_CASE("a request that crashes upstreams may run at most three more times after the gossip time")
 {
     PromiseBounds bounds;
-    bounds.crashNews = Milliseconds(0);
+    bounds.quarantineGossip = Milliseconds(0);
     bounds.slack = Milliseconds(0);
-    Checked run(bounds);
-    run.attempt.kind = RequestKind::Safe;
-    run.checker.sent(run.attempt);
+    CheckedAttempt checked(bounds);
+    checked.attempt.kind = RequestKind::Safe;
+    checked.checker.recordSent(checked.attempt);
     for (int crash = 0; crash < 3; ++crash) {
-        run.checker.crashedBy(Upstream, run.arrival);
+        checked.checker.onCrashedBy(Upstream, checked.arrival);
     }
     for (int late = 0; late < 3; ++late) {
-        run.runAt(Upstream);
+        checked.runAt(Upstream);
     }
-    CHECK(run.checker.violations().empty());
-    run.runAt(Upstream);
-    CHECK(run.breaks("a request that ends upstreams is stopped"));
+    CHECK(checked.checker.violations().empty());
+    checked.runAt(Upstream);
+    CHECK(checked.violates("a request that ends upstreams is stopped"));
 }
 
-TEST_CASE("many answers after the timeout break a promise")
+TEST_CASE("more than a few answers after the timeout violate a promise")
 {
-    Checked run;
-    run.answerLate(6);
-    CHECK(run.breaks("answers by the timeout"));
+    CheckedAttempt checked;
+    checked.answerAfterTimeout(6);
+    CHECK(checked.violates("answers by the timeout"));
 }
 
-// Guards against a machine that stands still: what it held up is dealt with before it is known that it stood.
-TEST_CASE("answers that a stall held up break nothing, also when the stall is noted after them")
+// Guards against false violations on a stalled machine: the answers that the stall delayed can be processed before the
+// stall itself is recorded.
+TEST_CASE("answers that a stall delayed violate no promise, even if the stall is recorded after them")
 {
-    Checked run;
-    run.answerLate(6);
-    run.disturbances.begin(AllNodes, Disturbance::Unplanned, currentTime() - std::chrono::seconds(3));
-    run.disturbances.end(AllNodes, Disturbance::Unplanned, currentTime());
-    CHECK_FALSE(run.breaks("answers by the timeout"));
+    CheckedAttempt checked;
+    checked.answerAfterTimeout(6);
+    checked.faultHistory.begin(AllNodes, FaultCategory::Unplanned, currentTime() - std::chrono::seconds(3));
+    checked.faultHistory.end(AllNodes, FaultCategory::Unplanned, currentTime());
+    CHECK_FALSE(checked.violates("answers by the timeout"));
 }
 
-// Guards against a request that the machine held up: its deadline looks too long where it arrives.
-TEST_CASE("a deadline that a stall held up breaks nothing")
+// Guards against false violations on a stalled machine: the stall delays the requests, so their deadlines look too long
+// when they arrive.
+TEST_CASE("a deadline of a request that a stall delayed violates no promise")
 {
     PromiseBounds bounds;
     bounds.slack = Milliseconds(0);
-    Checked run(bounds);
-    run.stalls.noteAwake(currentTime());
+    CheckedAttempt checked(bounds);
+    checked.stallDetector.recordActivity(currentTime());
     for (int number = 0; number < 6; ++number) {
-        run.attempt.id = RequestId("held" + std::to_string(number));
-        run.attempt.at = currentTime();
-        run.checker.sent(run.attempt);
+        checked.attempt.id = RequestId("held" + std::to_string(number));
+        checked.attempt.at = currentTime();
+        checked.checker.recordSent(checked.attempt);
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(900));
     for (int number = 0; number < 6; ++number) {
-        run.arrival.attempt = RequestId("held" + std::to_string(number));
-        run.arrival.left = Milliseconds(1500);
-        run.checker.arrived(Upstream, Payments, run.arrival);
+        checked.arrival.attempt = RequestId("held" + std::to_string(number));
+        checked.arrival.timeLeft = Milliseconds(1500);
+        checked.checker.onArrived(Upstream, Payments, checked.arrival);
     }
-    CHECK(run.stalls.stalls() == 1);
-    CHECK_FALSE(run.breaks("no longer deadlines"));
+    CHECK(checked.stallDetector.stallCount() == 1);
+    CHECK_FALSE(checked.violates("no longer deadlines"));
 }
--- a/tests/soak/publishedversions.cpp
+++ b/tests/soak/publishedversions.cpp
@@ -3,7 +3,7 @@
 namespace Egretpath
 {
 
-std::uint64_t PublishedVersions::oldestInForce(TimePoint at, Duration bound) const
+std::uint64_t PublishedVersions::oldestActive(TimePoint at, Duration bound) const
 {
     std::uint64_t oldest = 0;
     for (const Version &version : versions_) {
--- a/tests/soak/publishedversions.h
+++ b/tests/soak/publishedversions.h
@@ -11,10 +11,10 @@
 namespace Egretpath
 {
 
-/// Names a route for as long as the deployment lives, for example "read" or "new-7".
+/// Identifies a route over all versions, for example "read" or "new-7".
 using RouteKey = Name<struct RouteKeyTag>;
 
-/// What the operators published, and when. Thread safety: none.
+/// The versions of the routes that were published, and when. Thread safety: none.
 class PublishedVersions
 {
 public:
@@ -29,9 +29,9 @@
     void publish(Version version) { versions_.push_back(std::move(version)); }
     [[nodiscard]] const std::vector<Version> &all() const { return versions_; }
 
-    /// The oldest version that a node may still act on at @p at, when changes are in force after @p bound.
-    [[nodiscard]] std::uint64_t oldestInForce(TimePoint at, Duration bound) const;
-    /// The newest version at @p at.
+    /// The oldest version that a node may still use at @p at, when changes have to be active after @p bound.
+    [[nodiscard]] std::uint64_t oldestActive(TimePoint at, Duration bound) const;
+    /// The newest version that was published until @p at.
     [[nodiscard]] std::uint64_t newest(TimePoint at) const;
 
 private:
--- a/tests/soak/soakcallers.h
+++ b/tests/soak/soakcallers.h
@@ -17,28 +17,30 @@
 namespace Egretpath
 {
 
-/// Callers beside each node, and the calls that upstreams make while they work.
+/// Simulates the callers beside each node, and the calls that upstreams make while they work.
 ///
-/// They send at planned times, whether or not earlier requests were answered; keep connections open or open new ones;
-/// come back after refusals as they are told; and some leave early. Thread safety: none.
+/// Requests are sent at planned times, whether or not earlier requests were answered. Callers reuse connections or open
+/// new ones, wait as long as Retry-After says before they retry a refusal, and some disconnect early. Thread safety:
+/// none.
 class SoakCallers
 {
 public:
-    SoakCallers(boost::asio::io_context &context, SoakDeployment &deployment, const Operators &operators,
+    SoakCallers(boost::asio::io_context &context, SoakDeployment &deployment, const RoutePublisher &routePublisher,
                 PromiseChecker &checker, Random random);
 
-    /// Sends until @p end, about @p rate requests a second at each node.
+    /// Starts to send about @p rate requests a second at each node, until @p end.
     void start(double rate, TimePoint end);
-    /// Requests come this many times as often.
-    void setPressure(double factor) { pressure_ = factor; }
-    /// This share of the callers leaves before its answer.
-    void setLeaving(double share) { leaving_ = share; }
-    /// Sends one request, attempt after attempt at one node or another, that ends each upstream that runs it; or one
-    /// whose upstream makes a call that does. It comes often for @p length, and now and then to the end.
+    /// Multiplies the request rate by @p factor.
+    void setRateFactor(double factor) { rateFactor_ = factor; }
+    /// Sets the share of callers that disconnect before their answer.
+    void setDisconnectShare(double share) { disconnectShare_ = share; }
+    /// Sends one request that crashes each upstream that runs it, or whose upstream makes a call that does. Its
+    /// attempts go to random nodes: often for @p length, then less often until the end of the load.
     boost::asio::awaitable<void> sendCrashing(Milliseconds length);
-    [[nodiscard]] SlottedUpstream::InnerCall innerCalls(NodeNumber node);
+    [[nodiscard]] StandinUpstream::InnerCall innerCalls(NodeNumber node);
 
-    /// Attempts since the last call, and those of them that succeeded; for what counts after the faults.
+    /// Attempts since the last takeTally(), and how many of them succeeded. Used to measure the recovery after the
+    /// faults.
     struct Tally
     {
         std::uint64_t attempts = 0;
@@ -51,34 +53,34 @@
     {
         NodeNumber node = 0;
         CallerRoute route;
-        Milliseconds patience{0};
-        bool inner = false;
-        /// The last part of the path; empty: the attempt's own.
+        Milliseconds callerTimeout{0};
+        bool isInner = false;
+        /// Last segment of the path; if empty, the number of the attempt is used.
         std::string name;
     };
 
-    boost::asio::awaitable<void> sendAt(NodeNumber node, double rate, TimePoint end);
-    boost::asio::awaitable<void> request(NodeNumber node);
-    /// One attempt; returns how it ended.
-    boost::asio::awaitable<AttemptEnd> attempt(Attempt what);
-    boost::asio::awaitable<AttemptEnd> exchange(HttpClientCall &call, SentAttempt sent, std::string body);
-    [[nodiscard]] SentAttempt describe(const Attempt &what, const std::string &body);
+    boost::asio::awaitable<void> sendRequests(NodeNumber node, double rate, TimePoint end);
+    boost::asio::awaitable<void> callWithRetries(NodeNumber node);
+    /// Sends one attempt and returns its result.
+    boost::asio::awaitable<AttemptResult> sendAttempt(Attempt attempt);
+    boost::asio::awaitable<AttemptResult> exchange(HttpClientCall &call, SentAttempt sent, std::string body);
+    [[nodiscard]] SentAttempt describe(const Attempt &attempt, const std::string &body);
     [[nodiscard]] CallerRoute drawRoute();
-    [[nodiscard]] Milliseconds retryDelay(const AttemptEnd &end) const;
-    [[nodiscard]] static bool mayRetry(RequestKind kind, const AttemptEnd &end);
+    [[nodiscard]] Milliseconds retryDelay(const AttemptResult &result) const;
+    [[nodiscard]] static bool mayRetry(RequestKind kind, const AttemptResult &result);
 
     boost::asio::io_context &context_;
     SoakDeployment &deployment_;
-    const Operators &operators_;
+    const RoutePublisher &routePublisher_;
     PromiseChecker &checker_;
     Random random_;
     std::vector<std::unique_ptr<HttpConnectionPool>> pools_;
     Tally tally_;
-    TimePoint end_;
+    TimePoint loadEnd_;
     std::uint64_t lastId_ = 0;
-    std::uint64_t lastCrashing_ = 0;
-    double pressure_ = 1.0;
-    double leaving_ = 0.02;
+    std::uint64_t lastCrashingId_ = 0;
+    double rateFactor_ = 1.0;
+    double disconnectShare_ = 0.02;
 };
 
 }
--- a/tests/soak/soakdeployment.cpp
+++ b/tests/soak/soakdeployment.cpp
@@ -24,7 +24,7 @@
 
 constexpr const char *Services[] = {"statements", "arrangements", "intake"};
 constexpr const char *Zones[] = {"north-a", "north-b", "south-a"};
-constexpr std::size_t Seeds = 3;
+constexpr std::size_t SeedCount = 3;
 
 constexpr const char *CallersPort = ":8304";
 constexpr const char *ReadyPort = ":8302";
@@ -34,7 +34,7 @@
 constexpr const char *UpstreamPort = ":8301";
 constexpr const char *StorePort = ":8309";
 
-/// Groups of addresses in the deployment's network.
+/// Groups of addresses in the deployment's network; the third part of an address.
 enum AddressGroup : unsigned {
     StoreGroup,
     NodeGroup,
@@ -42,9 +42,9 @@
     StoreLinkGroup,
 };
 
-/// A process that has ended is started again after this time.
-constexpr Milliseconds RestartPause{400};
-constexpr const char *KilledBySoak = "signal 9";
+/// Time from the exit of a process to its next start.
+constexpr Milliseconds RestartDelay{400};
+constexpr const char *KilledBySoakReason = "signal 9";
 
 std::string quoted(const std::string &text)
 {
@@ -61,7 +61,7 @@
     , checker_(checker)
     , storeServer_(context.get_executor(), HttpLimits(),
                    [this](HttpExchange &exchange) { return store_.handle(exchange); })
-    , childEnds_(context, SIGCHLD)
+    , childExits_(context, SIGCHLD)
 {
 }
 
@@ -75,15 +75,16 @@
     return options_.network + "." + std::to_string(group) + "." + std::to_string(number + 1);
 }
 
-void SoakDeployment::start(const MakeInnerCall &makeInnerCall, const std::function<void(Member &)> &crashed)
+void SoakDeployment::start(const InnerCallFactory &makeInnerCall,
+                           const std::function<void(Member &)> &onUpstreamCrashed)
 {
     makeInnerCall_ = makeInnerCall;
-    crashed_ = crashed;
+    onUpstreamCrashed_ = onUpstreamCrashed;
     listenForStore();
     for (NodeNumber number = 0; number < options_.nodes; ++number) {
         addMember(number);
     }
-    collectEnds();
+    reapChildren();
     for (const auto &member : members_) {
         startUpstream(*member);
         writeSettings(*member, options_.repeatSlack);
@@ -94,7 +95,7 @@
 void SoakDeployment::listenForStore()
 {
     if (const auto bound = storeServer_.listen(Endpoint(address(StoreGroup, 0) + StorePort)); !bound) {
-        throw std::runtime_error("the store can't listen: " + bound.error().detail);
+        throw std::runtime_error("the stand-in store can't listen: " + bound.error().detail);
     }
 }
 
@@ -107,17 +108,18 @@
     member.nodeIp = address(NodeGroup, number);
     member.callers = Endpoint(member.nodeIp + CallersPort);
     member.ready = Endpoint(member.nodeIp + ReadyPort);
-    member.process = std::make_unique<NodeProcess>(options_.program, fileOf(member, ".toml"), fileOf(member, ".log"));
+    member.process =
+        std::make_unique<NodeProcess>(options_.program, filePath(member, ".toml"), filePath(member, ".log"));
     linkPeers(member);
     linkStore(member);
 }
 
-/// Every other member is reached through a relay, so that both the direct way and the one over a link are run.
+/// Puts a relay in front of every other member, so that both direct connections and connections over a link are tested.
 void SoakDeployment::linkPeers(Member &member)
 {
-    const bool linked = member.number % 2 == 1;
-    member.listedIp = linked ? address(PeerLinkGroup, member.number) : member.nodeIp;
-    if (linked) {
+    const bool hasPeerLink = member.number % 2 == 1;
+    member.listedIp = hasPeerLink ? address(PeerLinkGroup, member.number) : member.nodeIp;
+    if (hasPeerLink) {
         member.peerLink = std::make_unique<StandinRelay>(context_.get_executor(),
                                                          *toTcpEndpoint(Endpoint(member.nodeIp + PeersPort)));
         (void)member.peerLink->listen(*toTcpEndpoint(Endpoint(member.listedIp + PeersPort)));
@@ -133,14 +135,14 @@
 
 void SoakDeployment::stop()
 {
-    stopping_ = true;
+    isStopping_ = true;
     for (const auto &member : members_) {
         member->process.reset();
         member->upstream.reset();
     }
 }
 
-std::filesystem::path SoakDeployment::fileOf(const Member &member, const char *ending) const
+std::filesystem::path SoakDeployment::filePath(const Member &member, const char *ending) const
 {
     return options_.directory / ("node-" + std::to_string(member.number) + ending);
 }
@@ -148,7 +150,7 @@
 std::string SoakDeployment::seedsText() const
 {
     std::string text;
-    for (NodeNumber number = 0; number < std::min(Seeds, options_.nodes); ++number) {
+    for (NodeNumber number = 0; number < std::min(SeedCount, options_.nodes); ++number) {
         text += (text.empty() ? "" : ", ") + quoted(address(NodeGroup, number) + StartersPort);
     }
     return text;
@@ -156,7 +158,7 @@
 
 void SoakDeployment::writeSettings(const Member &member, double repeatSlack)
 {
-    std::ofstream file(fileOf(member, ".toml"), std::ios::trunc);
+    std::ofstream file(filePath(member, ".toml"), std::ios::trunc);
     file << "[node]\nname = \"node-" << member.number << "\"\nservice = " << quoted(member.service.value())
          << "\nregion = " << quoted(member.zone.substr(0, member.zone.find('-'))) << "\nzone = " << quoted(member.zone)
          << "\n[listen]\ncallers = " << quoted(member.callers.value()) << "\nready = " << quoted(member.ready.value())
@@ -172,25 +174,25 @@
          << options_.grace.count() << "ms\"\n[log]\ndecisions_per_second = 200\n";
 }
 
-void SoakDeployment::breakSettings(const Member &member)
+void SoakDeployment::writeInvalidSettings(const Member &member)
 {
-    std::ofstream file(fileOf(member, ".toml"), std::ios::trunc);
+    std::ofstream file(filePath(member, ".toml"), std::ios::trunc);
     file << "[node\nname = \n";
 }
 
 void SoakDeployment::startUpstream(Member &member)
 {
-    SlottedUpstreamOptions options;
+    StandinUpstreamOptions options;
     options.id = UpstreamName("u" + std::to_string(member.number) + "-" + std::to_string(++member.upstreamStarts));
     options.service = member.service;
     options.address = Endpoint(member.listedIp + UpstreamPort);
     options.work = options_.work;
     options.seed = options_.seed * 1000 + member.number;
-    options.crashed = [this, &member] { crashed_(member); };
+    options.onCrashed = [this, &member] { onUpstreamCrashed_(member); };
     member.upstreamId = options.id;
-    checker_.placed(options.id, member.number);
+    checker_.recordPlacement(options.id, member.number);
     member.upstream.reset();
-    member.upstream = std::make_unique<SlottedUpstream>(context_.get_executor(), std::move(options), checker_,
+    member.upstream = std::make_unique<StandinUpstream>(context_.get_executor(), std::move(options), checker_,
                                                         makeInnerCall_(member.number));
     registerUpstream(member, false);
 }
@@ -213,41 +215,41 @@
     store_.remove("servers/" + upstream.value());
 }
 
-/// Signals of ended children may be merged, so that all ended ones are collected each time.
-void SoakDeployment::collectEnds()
+/// The system may merge the signals of several exited children, so each signal collects all of them.
+void SoakDeployment::reapChildren()
 {
-    childEnds_.async_wait([this](const boost::system::error_code &error, int) {
+    childExits_.async_wait([this](const boost::system::error_code &error, int) {
         if (error) {
             return;
         }
         while (true) {
-            const ProcessEnd end = NodeProcess::collectEnd();
-            if (end.process == 0) {
+            const ProcessExit childExit = NodeProcess::reapChild();
+            if (childExit.process == 0) {
                 break;
             }
             for (const auto &member : members_) {
-                if (member->process && member->process->id() == end.process) {
-                    noteEnd(*member, end);
+                if (member->process && member->process->id() == childExit.process) {
+                    onProcessExit(*member, childExit);
                 }
             }
         }
-        collectEnds();
+        reapChildren();
     });
 }
 
-void SoakDeployment::noteEnd(Member &member, const ProcessEnd &end)
+void SoakDeployment::onProcessExit(Member &member, const ProcessExit &childExit)
 {
-    member.process->noteEnd();
-    const bool expected = std::exchange(member.endExpected, false);
-    // One that was asked to stop ends with its own exit code; one that was killed ends by that signal.
-    const bool asAsked = end.clean || end.how == KilledBySoak;
-    if ((!expected || !asAsked) && !stopping_) {
-        checker_.crashed(member.number, end.how);
+    member.process->recordExit();
+    const bool wasExpected = std::exchange(member.isExitExpected, false);
+    // A process that was asked to stop exits with code 0; a process that was killed exits by SIGKILL.
+    const bool exitedAsRequested = childExit.isClean || childExit.reason == KilledBySoakReason;
+    if ((!wasExpected || !exitedAsRequested) && !isStopping_) {
+        checker_.recordUnexpectedExit(member.number, childExit.reason);
     }
-    const auto timer = std::make_shared<asio::steady_timer>(context_, RestartPause);
+    const auto timer = std::make_shared<asio::steady_timer>(context_, RestartDelay);
     timer->async_wait([this, &member, timer](const boost::system::error_code &error) {
-        if (!error && !stopping_ && !member.process->runs()) {
-            // As the platform does at each start.
+        if (!error && !isStopping_ && !member.process->isRunning()) {
+            // The platform writes the settings at each start too.
             writeSettings(member, options_.repeatSlack);
             member.process->start();
         }
--- a/tests/soak/soakdeployment.h
+++ b/tests/soak/soakdeployment.h
@@ -23,9 +23,9 @@
 struct DeploymentOptions
 {
     std::filesystem::path program;
-    /// Settings and logs of the nodes.
+    /// Folder for the settings and logs of the nodes.
     std::filesystem::path directory;
-    /// The first half of the loopback addresses, so that deployments can run side by side.
+    /// The first half of the loopback addresses. Deployments with different values can run side by side.
     std::string network = "127.90";
     std::size_t nodes = 9;
     std::uint64_t seed = 1;
@@ -35,29 +35,31 @@
     double repeatSlack = 40;
 };
 
-/// One VM: a node's process, the upstream beside it, and relays on the ways to them.
+/// One VM: the process of a node, the upstream beside it, and relays on the links to them.
 struct Member
 {
     NodeNumber number = 0;
     ServiceName service;
     std::string zone;
-    /// The id under which its upstream is registered; each start has another one.
+    /// The id under which the upstream is registered. Each start of an upstream uses a new one.
     UpstreamName upstreamId;
     unsigned upstreamStarts = 0;
     Endpoint callers;
     Endpoint ready;
-    /// Where other nodes and the list find it; behind a relay for every other member.
+    /// The address under which other nodes find this one and its upstream is registered. For every other member it is
+    /// the address of a relay.
     std::string listedIp;
     std::string nodeIp;
     std::unique_ptr<StandinRelay> peerLink;
     std::unique_ptr<StandinRelay> storeLink;
     std::unique_ptr<NodeProcess> process;
-    std::unique_ptr<SlottedUpstream> upstream;
-    /// The soak has told the process to end, or ended it; its end is no crash.
-    bool endExpected = false;
+    std::unique_ptr<StandinUpstream> upstream;
+    /// Whether the soak asked the process to exit or killed it, so that its exit is no crash.
+    bool isExitExpected = false;
 };
 
-/// Real nodes as processes, and around them what the platform brings: a store, upstreams, links. Thread safety: none.
+/// Runs real nodes as processes, with stand-ins for the platform around them: a store, upstreams and links. Thread
+/// safety: none.
 class SoakDeployment
 {
 public:
@@ -67,22 +69,23 @@
     SoakDeployment(const SoakDeployment &) = delete;
     SoakDeployment &operator=(const SoakDeployment &) = delete;
 
-    /// Makes an upstream's own call through its node.
-    using MakeInnerCall = std::function<SlottedUpstream::InnerCall(NodeNumber)>;
-    /// @p crashed is told of each member whose upstream a request has ended.
-    void start(const MakeInnerCall &makeInnerCall, const std::function<void(Member &)> &crashed);
-    /// Ends all processes.
+    /// Returns the function by which the upstream beside a node makes its own calls through that node.
+    using InnerCallFactory = std::function<StandinUpstream::InnerCall(NodeNumber)>;
+    /// Starts the nodes, their upstreams and the store. Calls @p onUpstreamCrashed with each member whose upstream a
+    /// request has crashed.
+    void start(const InnerCallFactory &makeInnerCall, const std::function<void(Member &)> &onUpstreamCrashed);
+    /// Kills all processes and ends all upstreams.
     void stop();
 
     [[nodiscard]] std::vector<std::unique_ptr<Member>> &members() { return members_; }
     [[nodiscard]] Member &member(NodeNumber number) { return *members_.at(number); }
 
-    /// Writes the settings of @p member; they are read at the next start or reload.
+    /// Writes the settings of @p member. The node reads them at its next start or reload.
     void writeSettings(const Member &member, double repeatSlack);
-    /// A settings file that is none.
-    void breakSettings(const Member &member);
+    /// Writes a settings file that can't be parsed.
+    void writeInvalidSettings(const Member &member);
     void startUpstream(Member &member);
-    /// Writes the entry of its upstream, ready or draining.
+    /// Writes the store entry of the member's upstream, as ready or draining.
     void registerUpstream(const Member &member, bool draining);
     void unregisterUpstream(const UpstreamName &upstream);
 
@@ -91,22 +94,22 @@
     void listenForStore();
     void linkPeers(Member &member);
     void linkStore(Member &member);
-    void collectEnds();
-    void noteEnd(Member &member, const ProcessEnd &end);
+    void reapChildren();
+    void onProcessExit(Member &member, const ProcessExit &childExit);
     [[nodiscard]] std::string address(unsigned group, NodeNumber number) const;
     [[nodiscard]] std::string seedsText() const;
-    [[nodiscard]] std::filesystem::path fileOf(const Member &member, const char *ending) const;
+    [[nodiscard]] std::filesystem::path filePath(const Member &member, const char *ending) const;
 
     boost::asio::io_context &context_;
     DeploymentOptions options_;
     StandinStore &store_;
     PromiseChecker &checker_;
     HttpServer storeServer_;
-    boost::asio::signal_set childEnds_;
+    boost::asio::signal_set childExits_;
     std::vector<std::unique_ptr<Member>> members_;
-    MakeInnerCall makeInnerCall_;
-    std::function<void(Member &)> crashed_;
-    bool stopping_ = false;
+    InnerCallFactory makeInnerCall_;
+    std::function<void(Member &)> onUpstreamCrashed_;
+    bool isStopping_ = false;
 };
 
 }
--- a/tests/soak/soakmain.cpp
+++ b/tests/soak/soakmain.cpp
@@ -21,7 +21,7 @@
     for (const std::string &name : names) {
         const auto kind = faultKindFromString(name);
         if (!kind) {
-            std::cerr << "no fault is called " << name << '\n';
+            std::cerr << "unknown fault kind: " << name << '\n';
             return false;
         }
         kinds.push_back(*kind);
@@ -39,18 +39,22 @@
     std::string program = "build/bin/egretpath-sidecar";
     std::string directory;
     std::vector<std::string> kinds;
-    CLI::App app("Runs nodes as processes under load and seeded faults, and holds what is seen against the promises.");
+    CLI::App app("Runs nodes as processes under load and seeded faults, and checks the promises of the system.");
     app.add_option("--seed", options.deployment.seed, "the same seed plans the same faults");
-    app.add_option("--seconds", seconds, "length of the load; the last 6 s are without faults");
-    app.add_option("--nodes", options.deployment.nodes, "nodes, each a process of its own")->check(CLI::Range(3, 200));
+    app.add_option("--seconds", seconds, "duration of the load in seconds; the last 6 s are without faults");
+    app.add_option("--nodes", options.deployment.nodes, "number of nodes; each runs as its own process")
+        ->check(CLI::Range(3, 200));
     app.add_option("--rate", options.rate, "requests a second at each node");
-    app.add_option("--faults", kinds, "names of faults to draw from; all by default")->delimiter(',');
-    app.add_option("--known-kinds", options.faults.knownKinds, "draw from so many kinds, as a seed once did")
+    app.add_option("--faults", kinds, "fault kinds to draw from, separated by commas; all by default")->delimiter(',');
+    app.add_option("--known-kinds", options.faults.knownKinds,
+                   "draw from the first kinds only, as many as when the seed was recorded")
         ->check(CLI::Range(std::size_t{1}, FaultKindCount));
-    app.add_flag("--calm", options.calm, "no faults");
+    app.add_flag("--calm", options.withoutFaults, "no faults");
     app.add_option("--slack-ms", slackMilliseconds, "added to each bound of time");
-    app.add_option("--recovered", options.recoveredShare, "of the attempts after the faults, the share that succeeds");
-    app.add_option("--network", options.deployment.network, "first half of the loopback addresses");
+    app.add_option("--recovered", options.recoveredShare,
+                   "minimum share of the attempts after the faults that must succeed");
+    app.add_option("--network", options.deployment.network,
+                   "first two parts of the loopback addresses, for example 127.90");
     app.add_option("--program", program, "the node's program");
     app.add_option("--output", directory, "folder for settings and logs of the nodes")->required();
     CLI11_PARSE(app, argumentCount, arguments);
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -19,46 +19,46 @@
 namespace
 {
 
-/// A part counts as hit for so long after a fault.
+/// A node counts as hit by a fault for this time after its end.
 constexpr Milliseconds SettleTime{3000};
-constexpr Milliseconds StartLimit{20'000};
-constexpr Milliseconds ReadyPoll{50};
-constexpr Milliseconds ProbeLimit{500};
-/// The end of a run that is held against recoveredShare.
-constexpr Milliseconds RecoveredTime{2500};
-/// Answers to the last requests arrive within this time.
-constexpr Milliseconds LastAnswers{2500};
+constexpr Milliseconds StartTimeout{20'000};
+constexpr Milliseconds ReadyPollInterval{50};
+constexpr Milliseconds ProbeTimeout{500};
+/// Time at the end of the run in which the share of successful attempts is compared with recoveredShare.
+constexpr Milliseconds RecoveryCheckTime{2500};
+/// Time after the load in which the last answers arrive.
+constexpr Milliseconds LastAnswersTime{2500};
 constexpr std::size_t ProbeAnswerBytes = 4096;
 
-Random generator(std::uint64_t seed, std::uint64_t use)
+Random makeRandom(std::uint64_t seed, std::uint64_t stream)
 {
-    return Random(seed * 1'000'003 + use);
+    return Random(seed * 1'000'003 + stream);
 }
 
 }
 
 SoakRun::SoakRun(SoakOptions options)
     : options_(std::move(options))
-    , random_(generator(options_.deployment.seed, 0))
-    , disturbances_(SettleTime)
-    , stalls_(disturbances_)
-    , checker_(options_.bounds, disturbances_, stalls_, versions_)
+    , random_(makeRandom(options_.deployment.seed, 0))
+    , faultHistory_(SettleTime)
+    , stallDetector_(faultHistory_)
+    , checker_(options_.bounds, faultHistory_, stallDetector_, versions_)
     , store_(context_.get_executor())
-    , operators_(store_, versions_, generator(options_.deployment.seed, 1))
+    , routePublisher_(store_, versions_, makeRandom(options_.deployment.seed, 1))
     , deployment_(context_, options_.deployment, store_, checker_)
-    , callers_(context_, deployment_, operators_, checker_, generator(options_.deployment.seed, 2))
-    , injector_(context_, deployment_, store_, operators_, callers_, disturbances_, checker_, options_.deployment)
+    , callers_(context_, deployment_, routePublisher_, checker_, makeRandom(options_.deployment.seed, 2))
+    , injector_(context_, deployment_, store_, routePublisher_, callers_, faultHistory_, checker_, options_.deployment)
     , probes_(context_.get_executor(), HttpPoolLimits())
 {
-    if (!options_.calm) {
-        plan_ = drawFaults(options_.faults, generator(options_.deployment.seed, 3));
+    if (!options_.withoutFaults) {
+        plan_ = drawFaults(options_.faults, makeRandom(options_.deployment.seed, 3));
     }
 }
 
 bool SoakRun::run()
 {
     std::exception_ptr thrown;
-    asio::co_spawn(context_, play(), [&](std::exception_ptr error) {
+    asio::co_spawn(context_, runScenario(), [&](std::exception_ptr error) {
         thrown = error;
         context_.stop();
     });
@@ -71,11 +71,11 @@
     return checker_.violations().empty();
 }
 
-asio::awaitable<void> SoakRun::play()
+asio::awaitable<void> SoakRun::runScenario()
 {
-    operators_.publishNext();
+    routePublisher_.publishNext();
     deployment_.start([this](NodeNumber node) { return callers_.innerCalls(node); },
-                      [this](Member &member) { injector_.upstreamCrashed(member); });
+                      [this](Member &member) { injector_.onUpstreamCrashed(member); });
     co_await waitUntilReady();
     asio::co_spawn(context_, watchStalls(), asio::detached);
     const TimePoint start = currentTime();
@@ -85,18 +85,18 @@
         asio::co_spawn(context_, injectAt(fault, start), asio::detached);
     }
     co_await checkRecovery(end);
-    co_await sleepFor(LastAnswers);
+    co_await sleepFor(LastAnswersTime);
 }
 
 asio::awaitable<void> SoakRun::waitUntilReady()
 {
-    const TimePoint limit = currentTime() + StartLimit;
+    const TimePoint limit = currentTime() + StartTimeout;
     for (const auto &member : deployment_.members()) {
         while (!co_await isReady(*member)) {
             if (currentTime() > limit) {
                 throw std::runtime_error("node " + std::to_string(member->number) + " does not become ready");
             }
-            co_await sleepFor(ReadyPoll);
+            co_await sleepFor(ReadyPollInterval);
         }
     }
 }
@@ -104,7 +104,7 @@
 asio::awaitable<bool> SoakRun::isReady(const Member &member)
 {
     constexpr std::uint16_t OkStatus = 200;
-    auto opened = co_await probes_.open(member.ready, currentTime() + ProbeLimit, HttpConnectionChoice::Fresh);
+    auto opened = co_await probes_.open(member.ready, currentTime() + ProbeTimeout, HttpConnectionChoice::Fresh);
     if (!opened) {
         co_return false;
     }
@@ -125,27 +125,29 @@
 asio::awaitable<void> SoakRun::watchStalls()
 {
     while (true) {
-        co_await sleepFor(StallWatch::Step);
-        stalls_.noteAwake(currentTime());
+        co_await sleepFor(StallDetector::CheckInterval);
+        stallDetector_.recordActivity(currentTime());
     }
 }
 
-/// When all faults are over, callers are served again and every node is ready.
+/// After all faults, callers must get answers again and every node must be ready.
 asio::awaitable<void> SoakRun::checkRecovery(TimePoint end)
 {
-    asio::steady_timer timer(context_, end - RecoveredTime);
+    asio::steady_timer timer(context_, end - RecoveryCheckTime);
     co_await timer.async_wait(asio::use_awaitable);
     (void)callers_.takeTally();
     timer.expires_at(end);
     co_await timer.async_wait(asio::use_awaitable);
     const SoakCallers::Tally tally = callers_.takeTally();
-    recovered_ = tally.attempts > 0 ? static_cast<double>(tally.successes) / static_cast<double>(tally.attempts) : 0.0;
-    if (recovered_ < options_.recoveredShare) {
-        checker_.violated("all comes back", "a share of " + std::to_string(recovered_) + " succeeds after the faults");
+    recoveredShare_ =
+        tally.attempts > 0 ? static_cast<double>(tally.successes) / static_cast<double>(tally.attempts) : 0.0;
+    if (recoveredShare_ < options_.recoveredShare) {
+        checker_.recordViolation("all comes back",
+                                 "a share of " + std::to_string(recoveredShare_) + " succeeds after the faults");
     }
     for (const auto &member : deployment_.members()) {
         if (!co_await isReady(*member)) {
-            checker_.violated("all comes back", "node " + std::to_string(member->number) + " is not ready");
+            checker_.recordViolation("all comes back", "node " + std::to_string(member->number) + " is not ready");
         }
     }
 }
@@ -157,9 +159,9 @@
         text << "fault " << fault.at.count() << " ms " << toString(fault.kind) << " node " << fault.node << " for "
              << fault.length.count() << " ms\n";
     }
-    text << "stalls " << stalls_.stalls() << ", the longest "
-         << std::chrono::duration_cast<Milliseconds>(stalls_.longest()).count() << " ms\nrecovered " << recovered_
-         << "\nstore-calls " << store_.calls() << '\n'
+    text << "stalls " << stallDetector_.stallCount() << ", the longest "
+         << std::chrono::duration_cast<Milliseconds>(stallDetector_.longestDelay()).count() << " ms\nrecovered "
+         << recoveredShare_ << "\nstore-calls " << store_.calls() << '\n'
          << checker_.summary();
     return text.str();
 }
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -21,24 +21,25 @@
     PromiseBounds bounds;
     /// Requests a second at each node.
     double rate = 15;
-    /// Without faults: a plain run under load.
-    bool calm = false;
-    /// Of the attempts after all faults, the share that has to succeed.
+    /// Runs the load without faults.
+    bool withoutFaults = false;
+    /// Minimum share of the attempts after all faults that has to succeed.
     double recoveredShare = 0.9;
 };
 
-/// One run: a deployment, its callers, the faults of a plan, and what came of the promises. Thread safety: none.
+/// One run of the soak: a deployment, its callers, the faults of a plan and the check of the promises. Thread safety:
+/// none.
 class SoakRun
 {
 public:
     explicit SoakRun(SoakOptions options);
 
-    /// Runs it whole. Returns whether every promise was kept. Throws std::exception if it can't begin.
+    /// Runs the soak to its end. Returns whether every promise was kept. Throws std::exception if the run can't start.
     [[nodiscard]] bool run();
     [[nodiscard]] std::string report() const;
 
 private:
-    boost::asio::awaitable<void> play();
+    boost::asio::awaitable<void> runScenario();
     boost::asio::awaitable<void> waitUntilReady();
     boost::asio::awaitable<bool> isReady(const Member &member);
     boost::asio::awaitable<void> injectAt(PlannedFault fault, TimePoint start);
@@ -48,18 +49,18 @@
     SoakOptions options_;
     boost::asio::io_context context_{1};
     Random random_;
-    Disturbances disturbances_;
-    StallWatch stalls_;
+    FaultHistory faultHistory_;
+    StallDetector stallDetector_;
     PublishedVersions versions_;
     PromiseChecker checker_;
     StandinStore store_;
-    Operators operators_;
+    RoutePublisher routePublisher_;
     SoakDeployment deployment_;
     SoakCallers callers_;
     FaultInjector injector_;
     HttpConnectionPool probes_;
     std::vector<PlannedFault> plan_;
-    double recovered_ = 0.0;
+    double recoveredShare_ = 0.0;
 };
 
 }
--- a/tests/soak/stallwatch.cpp
+++ b/tests/soak/stallwatch.cpp
@@ -9,23 +9,23 @@
 namespace
 {
 
-/// A step that is late by more shows a stall.
-constexpr Milliseconds StallLimit{250};
+/// Activity that is late by more than this is a stall.
+constexpr Milliseconds MaxDelay{250};
 
 }
 
-void StallWatch::noteAwake(TimePoint now)
+void StallDetector::recordActivity(TimePoint now)
 {
-    const TimePoint before = std::exchange(last_, now);
+    const TimePoint before = std::exchange(lastActivity_, now);
     if (before == TimePoint()) {
         return;
     }
-    const Duration late = std::max<Duration>(now - before - Step, Duration{0});
-    longest_ = std::max(longest_, late);
-    if (late > StallLimit) {
-        ++stalls_;
-        disturbances_.begin(AllNodes, Disturbance::Unplanned, before);
-        disturbances_.end(AllNodes, Disturbance::Unplanned, now);
+    const Duration late = std::max<Duration>(now - before - CheckInterval, Duration{0});
+    longestDelay_ = std::max(longestDelay_, late);
+    if (late > MaxDelay) {
+        ++stallCount_;
+        faultHistory_.begin(AllNodes, FaultCategory::Unplanned, before);
+        faultHistory_.end(AllNodes, FaultCategory::Unplanned, now);
     }
 }
 
--- a/tests/soak/stallwatch.h
+++ b/tests/soak/stallwatch.h
@@ -8,32 +8,33 @@
 namespace Egretpath
 {
 
-/// Notices that the machine held this program up, and with it the nodes: nothing was done here for a while.
+/// Detects that the machine stalled this program, and with it the nodes.
 ///
-/// Such a stall counts as hitting all nodes. Thread safety: none. Precondition: the disturbances outlive it.
-class StallWatch
+/// A stall shows as a time without any activity here. It is recorded as an unplanned fault of all nodes. Thread safety:
+/// none. Precondition: the fault history outlives this object.
+class StallDetector
 {
 public:
-    /// noteAwake() is called at least this often.
-    static constexpr Milliseconds Step{20};
+    /// recordActivity() is called at least this often.
+    static constexpr Milliseconds CheckInterval{20};
 
-    explicit StallWatch(Disturbances &disturbances)
-        : disturbances_(disturbances)
+    explicit StallDetector(FaultHistory &faultHistory)
+        : faultHistory_(faultHistory)
     {
     }
 
-    /// Something is done at @p now. Called before anything is judged by its time: after a stall, what it held up may be
-    /// dealt with before any timer.
-    void noteAwake(TimePoint now);
+    /// Records that the program is active at @p now. Must be called before any event is checked against a time bound:
+    /// after a stall, delayed events may be handled before the timer that calls this regularly.
+    void recordActivity(TimePoint now);
 
-    [[nodiscard]] std::size_t stalls() const { return stalls_; }
-    [[nodiscard]] Duration longest() const { return longest_; }
+    [[nodiscard]] std::size_t stallCount() const { return stallCount_; }
+    [[nodiscard]] Duration longestDelay() const { return longestDelay_; }
 
 private:
-    Disturbances &disturbances_;
-    TimePoint last_;
-    std::size_t stalls_ = 0;
-    Duration longest_{0};
+    FaultHistory &faultHistory_;
+    TimePoint lastActivity_;
+    std::size_t stallCount_ = 0;
+    Duration longestDelay_{0};
 };
 
 }
--- a/tests/soak/stallwatchtest.cpp
+++ b/tests/soak/stallwatchtest.cpp
@@ -14,18 +14,18 @@
 
 }
 
-TEST_CASE("a step that is late by a quarter of a second is a stall, which hits all nodes")
+TEST_CASE("activity that is late by more than a quarter of a second is a stall and counts as a fault of all nodes")
 {
-    Disturbances disturbances(Milliseconds(3000));
-    StallWatch watch(disturbances);
-    watch.noteAwake(at(0));
-    watch.noteAwake(at(260));
-    CHECK(watch.stalls() == 0);
-    CHECK(watch.longest() == Milliseconds(240));
-    CHECK(disturbances.isCalm(3, Disturbance::Unplanned, at(0), at(260)));
-    watch.noteAwake(at(600));
-    CHECK(watch.stalls() == 1);
-    CHECK(watch.longest() == Milliseconds(320));
-    CHECK_FALSE(disturbances.isCalm(3, Disturbance::Unplanned, at(500), at(550)));
-    CHECK(disturbances.isCalm(3, Disturbance::Unplanned, at(3700), at(3800)));
+    FaultHistory faultHistory(Milliseconds(3000));
+    StallDetector detector(faultHistory);
+    detector.recordActivity(at(0));
+    detector.recordActivity(at(260));
+    CHECK(detector.stallCount() == 0);
+    CHECK(detector.longestDelay() == Milliseconds(240));
+    CHECK(faultHistory.isFaultFree(3, FaultCategory::Unplanned, at(0), at(260)));
+    detector.recordActivity(at(600));
+    CHECK(detector.stallCount() == 1);
+    CHECK(detector.longestDelay() == Milliseconds(320));
+    CHECK_FALSE(faultHistory.isFaultFree(3, FaultCategory::Unplanned, at(500), at(550)));
+    CHECK(faultHistory.isFaultFree(3, FaultCategory::Unplanned, at(3700), at(3800)));
 }
--- a/tests/standins/querytarget.h
+++ b/tests/standins/querytarget.h
@@ -9,8 +9,8 @@
 namespace Egretpath
 {
 
-/// The target of a request, taken apart: "/control?mode=up&flag" gives the path and the parameters, in their order.
-/// Percent signs stay as they are; the stand-ins need none. Thread safety: none; const access may be shared.
+/// A parsed request target: "/control?mode=up&flag" gives the path and the parameters in their order. Percent escapes
+/// are not decoded, since most stand-ins need none. Thread safety: none; const access may be shared.
 class QueryTarget
 {
 public:
@@ -19,7 +19,7 @@
     [[nodiscard]] const std::string &path() const { return path_; }
     [[nodiscard]] bool has(std::string_view name) const { return find(name).has_value(); }
     [[nodiscard]] std::optional<std::string> find(std::string_view name) const;
-    /// The parameter as a number; nothing when it is absent or none.
+    /// The parameter as a number; nothing when it is absent or not a number.
     [[nodiscard]] std::optional<std::uint64_t> number(std::string_view name) const;
 
 private:
@@ -33,7 +33,7 @@
     std::vector<Parameter> parameters_;
 };
 
-/// Reads a whole number; nothing for all else. Thread safety: safe.
+/// Parses an unsigned integer; returns nothing for any other text. Thread safety: safe.
 [[nodiscard]] std::optional<std::uint64_t> parseUnsigned(std::string_view text);
 
 }
--- a/tests/standins/relaydirection.cpp
+++ b/tests/standins/relaydirection.cpp
@@ -20,9 +20,9 @@
 namespace
 {
 
-constexpr std::size_t PieceBytes = 16384;
-/// The most that one direction holds back; the sender is slowed down beyond it.
-constexpr std::size_t LargestHeldBytes = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t ReadBytes = 16384;
+/// Maximum number of bytes that one direction holds back. Beyond it the sender is not read from.
+constexpr std::size_t MaxBufferedBytes = std::size_t{16} * 1024 * 1024;
 
 }
 
@@ -40,9 +40,9 @@
 {
     const auto self = shared_from_this();
     asio::co_spawn(
-        from_->get_executor(), [self] { return self->take(); }, asio::detached);
+        from_->get_executor(), [self] { return self->readLoop(); }, asio::detached);
     asio::co_spawn(
-        from_->get_executor(), [self] { return self->deliver(); }, asio::detached);
+        from_->get_executor(), [self] { return self->writeLoop(); }, asio::detached);
 }
 
 void RelayDirection::wake()
@@ -50,50 +50,50 @@
     changed_.cancel();
 }
 
-bool RelayDirection::held() const
+bool RelayDirection::isHeld() const
 {
     return conditions_->partitioned || (towardsServer_ && conditions_->holdRequests);
 }
 
-asio::awaitable<void> RelayDirection::take()
+asio::awaitable<void> RelayDirection::readLoop()
 {
-    std::vector<char> buffer(PieceBytes);
+    std::vector<char> buffer(ReadBytes);
     boost::system::error_code error;
     while (!error) {
-        if (heldBytes_ >= LargestHeldBytes && to_->is_open()) {
+        if (bufferedBytes_ >= MaxBufferedBytes && to_->is_open()) {
             co_await changed_.async_wait(asio::redirect_error(asio::use_awaitable, error));
             error = {};
             continue;
         }
         const std::size_t count =
             co_await from_->async_read_some(asio::buffer(buffer), asio::redirect_error(asio::use_awaitable, error));
-        heldBytes_ += count;
+        bufferedBytes_ += count;
         const TimePoint due = std::chrono::steady_clock::now() + conditions_->delay;
         if (count > 0) {
-            pieces_.push_back(Piece{due, std::string(buffer.data(), count)});
+            chunks_.push_back(Chunk{due, std::string(buffer.data(), count)});
         }
         if (error) {
-            pieces_.push_back(Piece{due, std::string()});
+            chunks_.push_back(Chunk{due, std::string()});
         }
         wake();
     }
 }
 
-asio::awaitable<void> RelayDirection::deliver()
+asio::awaitable<void> RelayDirection::writeLoop()
 {
     boost::system::error_code error;
     while (!error && to_->is_open()) {
         co_await waitUntilDue();
-        if (pieces_.empty()) {
+        if (chunks_.empty()) {
             break; // The connection was reset.
         }
-        const std::string bytes = std::move(pieces_.front().bytes);
-        pieces_.pop_front();
+        const std::string bytes = std::move(chunks_.front().bytes);
+        chunks_.pop_front();
         if (bytes.empty()) {
             break;
         }
         co_await asio::async_write(*to_, asio::buffer(bytes), asio::redirect_error(asio::use_awaitable, error));
-        heldBytes_ -= bytes.size();
+        bufferedBytes_ -= bytes.size();
         changed_.cancel();
         if (conditions_->bytesPerSecond > 0) {
             co_await sleepFor(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(
@@ -107,16 +107,16 @@
 {
     boost::system::error_code ignored;
     while (to_->is_open()) {
-        const bool waiting = pieces_.empty() || held();
-        if (!waiting && pieces_.front().due <= std::chrono::steady_clock::now()) {
-            // An expired time would make take() spin while a slow receiver holds the next write up.
+        const bool waiting = chunks_.empty() || isHeld();
+        if (!waiting && chunks_.front().due <= std::chrono::steady_clock::now()) {
+            // With an expiry in the past, readLoop() would spin while a slow receiver delays the next write.
             changed_.expires_at(TimePoint::max());
             co_return;
         }
-        changed_.expires_at(waiting ? TimePoint::max() : pieces_.front().due);
+        changed_.expires_at(waiting ? TimePoint::max() : chunks_.front().due);
         co_await changed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    pieces_.clear();
+    chunks_.clear();
 }
 
 }
--- a/tests/standins/relaydirection.h
+++ b/tests/standins/relaydirection.h
@@ -14,21 +14,23 @@
 namespace Egretpath
 {
 
-/// What the relay does to the bytes of all its connections. Shared and changed while they run.
+/// What a relay does to the bytes of its connections. The connections share one object, which may change while they are
+/// open.
 struct RelayConditions
 {
-    /// One way.
+    /// Delay of each direction.
     Duration delay{0};
-    /// Of each direction of each connection; 0 for no limit.
+    /// Limit for each direction of each connection; 0 for no limit.
     std::uint64_t bytesPerSecond = 0;
-    /// Bytes towards the server wait until this ends.
+    /// Whether bytes towards the server are held back. They are delivered when this becomes false.
     bool holdRequests = false;
-    /// Bytes in both directions wait until this ends, as in a partition that heals.
+    /// Whether bytes in both directions are held back, as in a network partition. They are delivered when this becomes
+    /// false.
     bool partitioned = false;
 };
 
-/// Carries the bytes of one direction of a relayed connection. Bytes that were taken are delivered even after their
-/// sender closed: a late copy of a request arrives so. Thread safety: none.
+/// Forwards the bytes of one direction of a relayed connection. Bytes that were read are delivered even after their
+/// sender closed the connection; in this way a late copy of a request can arrive. Thread safety: none.
 class RelayDirection : public std::enable_shared_from_this<RelayDirection>
 {
 public:
@@ -36,30 +38,30 @@
 
     RelayDirection(Socket from, Socket to, std::shared_ptr<const RelayConditions> conditions, bool towardsServer);
 
-    /// Starts to carry; the direction lives until both sides are done.
+    /// Starts to forward. The object lives until both sides are done.
     void start();
-    /// The conditions changed, or the connection was reset.
+    /// Must be called when the conditions have changed or the connection was reset.
     void wake();
 
 private:
-    struct Piece
+    struct Chunk
     {
         TimePoint due;
-        /// Empty for the end of the connection.
+        /// Empty at the end of the connection.
         std::string bytes;
     };
 
-    [[nodiscard]] boost::asio::awaitable<void> take();
-    [[nodiscard]] boost::asio::awaitable<void> deliver();
+    [[nodiscard]] boost::asio::awaitable<void> readLoop();
+    [[nodiscard]] boost::asio::awaitable<void> writeLoop();
     [[nodiscard]] boost::asio::awaitable<void> waitUntilDue();
-    [[nodiscard]] bool held() const;
+    [[nodiscard]] bool isHeld() const;
 
     Socket from_;
     Socket to_;
     std::shared_ptr<const RelayConditions> conditions_;
     bool towardsServer_;
-    std::deque<Piece> pieces_;
-    std::size_t heldBytes_ = 0;
+    std::deque<Chunk> chunks_;
+    std::size_t bufferedBytes_ = 0;
     boost::asio::steady_timer changed_;
 };
 
--- a/tests/standins/slottedupstream.cpp
+++ b/tests/standins/slottedupstream.cpp
@@ -31,18 +31,18 @@
 constexpr std::uint16_t FailedStatus = 500;
 constexpr std::uint16_t UnavailableStatus = 503;
 constexpr std::uint16_t TimeoutStatus = 504;
-/// A neighbour on the VM makes all work slower for some tenths of a second at a time.
+/// Other load on the VM slows all work down for some tenths of a second at a time.
 constexpr Milliseconds SlowdownStep{100};
 constexpr double SlowShare = 0.25;
-constexpr double SlowPace = 3.0;
+constexpr double SlowFactor = 3.0;
 constexpr double WorkSpread = 0.3;
 constexpr double Percent = 100.0;
-constexpr std::size_t LeastAnswerBytes = 300;
-constexpr std::size_t AnswerSpread = 6000;
-/// Idle connections are closed after this time, as upstreams on the platform do.
+constexpr std::size_t MinAnswerBytes = 300;
+constexpr std::size_t AnswerBytesSpread = 6000;
+/// Idle connections are closed after this time, as by upstreams on the platform.
 constexpr Milliseconds IdleTime{10'000};
 
-std::string fieldOf(const HttpExchange &exchange, std::string_view name)
+std::string headerValue(const HttpExchange &exchange, std::string_view name)
 {
     return std::string(exchange.head().headers.find(name).value_or(std::string_view()));
 }
@@ -56,23 +56,23 @@
 
 }
 
-class SlottedUpstream::Implementation : public std::enable_shared_from_this<Implementation>
+class StandinUpstream::Implementation : public std::enable_shared_from_this<Implementation>
 {
 public:
-    Implementation(asio::any_io_executor executor, SlottedUpstreamOptions options, UpstreamObserver &observer,
+    Implementation(asio::any_io_executor executor, StandinUpstreamOptions options, UpstreamObserver &observer,
                    InnerCall innerCall)
         : executor_(executor)
         , options_(std::move(options))
         , observer_(observer)
         , innerCall_(std::move(innerCall))
         , random_(options_.seed)
-        , freed_(executor, asio::steady_timer::time_point::max())
+        , slotFreed_(executor, asio::steady_timer::time_point::max())
     {
     }
 
     void start()
     {
-        // The server's handlers hold the upstream: a crash must not take it from under those that still run.
+        // The server's handlers own the upstream, because a crash must not destroy it while some of them still run.
         server_ = std::make_unique<HttpServer>(
             executor_, limits(), [self = shared_from_this()](HttpExchange &exchange) { return self->serve(exchange); });
         if (const auto bound = server_->listen(options_.address); !bound) {
@@ -84,20 +84,20 @@
 
     void crash()
     {
-        ended_ = true;
+        hasExited_ = true;
         if (server_) {
             server_->closeAll();
         }
         server_.reset();
-        freed_.cancel();
+        slotFreed_.cancel();
     }
 
     void drain() { draining_ = true; }
-    [[nodiscard]] const SlottedUpstreamOptions &options() const { return options_; }
+    [[nodiscard]] const StandinUpstreamOptions &options() const { return options_; }
     [[nodiscard]] UpstreamFaults &faults() { return faults_; }
 
 private:
-    /// Holds one of the slots.
+    /// Occupies one slot while it exists.
     class Slot
     {
     public:
@@ -109,7 +109,7 @@
         ~Slot()
         {
             --upstream_.running_;
-            upstream_.freed_.cancel();
+            upstream_.slotFreed_.cancel();
         }
         Slot(const Slot &) = delete;
         Slot &operator=(const Slot &) = delete;
@@ -130,44 +130,44 @@
         if (!body) {
             co_return;
         }
-        const ArrivedRequest request = read(exchange, body.value());
-        observer_.arrived(options_.id, options_.service, request);
-        if (fieldOf(exchange, "X-Egretpath-Target-Instance") != options_.id.value()) {
+        const ArrivedRequest request = parseRequest(exchange, body.value());
+        observer_.onArrived(options_.id, options_.service, request);
+        if (headerValue(exchange, "X-Egretpath-Target-Instance") != options_.id.value()) {
             co_await refuse(exchange, request.attempt, MisdirectedStatus);
-        } else if (faults_.refusing || running_ + waiting_ >= options_.slots + options_.queue) {
+        } else if (faults_.isRefusing || running_ + waiting_ >= options_.slots + options_.queue) {
             co_await refuse(exchange, request.attempt, UnavailableStatus);
-        } else if (draws(faults_.hanging)) {
-            co_await neverAnswer(exchange);
+        } else if (drawBool(faults_.hangingShare)) {
+            co_await hang(exchange);
         } else {
             co_await waitAndRun(exchange, request);
         }
     }
 
-    /// Until the caller closes the connection; the upstream does not count the request.
-    asio::awaitable<void> neverAnswer(HttpExchange &exchange)
+    /// Waits until the caller closes the connection. The request counts neither as running nor as waiting.
+    asio::awaitable<void> hang(HttpExchange &exchange)
     {
-        bool gone = false;
-        exchange.onCallerDisconnected([this, &gone] {
-            gone = true;
-            freed_.cancel();
+        bool callerDisconnected = false;
+        exchange.onCallerDisconnected([this, &callerDisconnected] {
+            callerDisconnected = true;
+            slotFreed_.cancel();
         });
-        while (!gone && !ended_) {
+        while (!callerDisconnected && !hasExited_) {
             boost::system::error_code ignored;
-            co_await freed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+            co_await slotFreed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
         exchange.onCallerDisconnected(nullptr);
     }
 
-    [[nodiscard]] static ArrivedRequest read(const HttpExchange &exchange, const std::string &body)
+    [[nodiscard]] static ArrivedRequest parseRequest(const HttpExchange &exchange, const std::string &body)
     {
         ArrivedRequest request;
-        request.attempt = RequestId(fieldOf(exchange, AttemptId));
+        request.attempt = RequestId(headerValue(exchange, AttemptId));
         request.method = exchange.head().method;
         request.target = exchange.head().target;
         request.bodyDigest = toHex(digestOf(body));
-        request.callerService = ServiceName(fieldOf(exchange, "X-Egretpath-Caller-Service"));
-        if (const auto left = parseUnsigned(fieldOf(exchange, "X-Egretpath-Deadline-Ms"))) {
-            request.left = Milliseconds(*left);
+        request.callerService = ServiceName(headerValue(exchange, "X-Egretpath-Caller-Service"));
+        if (const auto left = parseUnsigned(headerValue(exchange, "X-Egretpath-Deadline-Ms"))) {
+            request.timeLeft = Milliseconds(*left);
         }
         return request;
     }
@@ -181,19 +181,19 @@
 
     asio::awaitable<void> waitAndRun(HttpExchange &exchange, ArrivedRequest request)
     {
-        const TimePoint deadline = currentTime() + std::max(request.left, Milliseconds{0});
-        bool gone = false;
-        exchange.onCallerDisconnected([this, &gone] {
-            gone = true;
-            freed_.cancel();
+        const TimePoint deadline = currentTime() + std::max(request.timeLeft, Milliseconds{0});
+        bool callerDisconnected = false;
+        exchange.onCallerDisconnected([this, &callerDisconnected] {
+            callerDisconnected = true;
+            slotFreed_.cancel();
         });
         ++waiting_;
-        while (running_ >= options_.slots && !gone && !ended_ && currentTime() < deadline) {
+        while (running_ >= options_.slots && !callerDisconnected && !hasExited_ && currentTime() < deadline) {
             boost::system::error_code ignored;
-            co_await freed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+            co_await slotFreed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
         --waiting_;
-        if (gone || ended_) {
+        if (callerDisconnected || hasExited_) {
             exchange.onCallerDisconnected(nullptr);
             co_return;
         }
@@ -203,59 +203,60 @@
             co_return;
         }
         const Slot slot(*this);
-        observer_.runStarted(options_.id, options_.service, request);
-        const bool finished = co_await work(exchange, request, deadline, gone);
-        observer_.runEnded(request.attempt);
-        if (finished && !gone && !ended_ && isCrashing(request)) {
-            observer_.crashedBy(options_.id, request);
+        observer_.onRunStarted(options_.id, options_.service, request);
+        const bool finished = co_await work(exchange, request, deadline, callerDisconnected);
+        observer_.onRunFinished(request.attempt);
+        if (finished && !callerDisconnected && !hasExited_ && isCrashing(request)) {
+            observer_.onCrashedBy(options_.id, request);
             crash();
-            asio::post(executor_, options_.crashed);
+            asio::post(executor_, options_.onCrashed);
             co_return;
         }
         exchange.onCallerDisconnected(nullptr);
-        if (!gone && !ended_) {
+        if (!callerDisconnected && !hasExited_) {
             co_await answer(exchange, request, finished ? OkStatus : TimeoutStatus);
         }
     }
 
-    /// Returns false when the deadline came first.
-    asio::awaitable<bool> work(HttpExchange &exchange, const ArrivedRequest &request, TimePoint deadline, bool &gone)
+    /// Returns false when the deadline passed first or the inner call failed.
+    asio::awaitable<bool> work(HttpExchange &exchange, const ArrivedRequest &request, TimePoint deadline,
+                               bool &callerDisconnected)
     {
         std::lognormal_distribution<double> spread(0.0, WorkSpread);
-        const double factor = spread(random_) * slowdown_ * faults_.slow;
+        const double factor = spread(random_) * slowdown_ * faults_.slowFactor;
         const auto length = std::chrono::duration_cast<Duration>(options_.work * factor);
         asio::steady_timer timer(executor_, std::min(currentTime() + length, deadline));
-        exchange.onCallerDisconnected([&timer, &gone] {
-            gone = true;
+        exchange.onCallerDisconnected([&timer, &callerDisconnected] {
+            callerDisconnected = true;
             timer.cancel();
         });
         boost::system::error_code ignored;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        exchange.onCallerDisconnected([&gone] { gone = true; });
+        exchange.onCallerDisconnected([&callerDisconnected] { callerDisconnected = true; });
         const auto left = std::chrono::duration_cast<Milliseconds>(deadline - currentTime());
-        bool whole = left > Milliseconds{0};
-        if (whole && !gone && innerCall_) {
-            whole = co_await innerCall_(request.target, left);
+        bool isFinished = left > Milliseconds{0};
+        if (isFinished && !callerDisconnected && innerCall_) {
+            isFinished = co_await innerCall_(request.target, left);
         }
-        co_return whole;
+        co_return isFinished;
     }
 
     asio::awaitable<void> answer(HttpExchange &exchange, ArrivedRequest request, std::uint16_t status)
     {
-        const bool fails = status != OkStatus || draws(faults_.failing);
-        const std::size_t bytes = LeastAnswerBytes + random_() % AnswerSpread;
+        const bool isFailure = status != OkStatus || drawBool(faults_.failingShare);
+        const std::size_t bytes = MinAnswerBytes + random_() % AnswerBytesSpread;
         std::string content = standinAnswer(request.attempt.value(), request.bodyDigest, bytes);
-        MadeAnswer made{request.attempt, fails && status == OkStatus ? FailedStatus : status,
-                        options_.id.value() + "." + std::to_string(random_()), toHex(digestOf(content))};
-        const bool isUnsigned = draws(faults_.unsignedShare);
-        HttpResponseHead head = answerHead(made.status, request.attempt);
+        UpstreamAnswer sentAnswer{request.attempt, isFailure && status == OkStatus ? FailedStatus : status,
+                                  options_.id.value() + "." + std::to_string(random_()), toHex(digestOf(content))};
+        const bool isUnsigned = drawBool(faults_.unsignedShare);
+        HttpResponseHead head = answerHead(sentAnswer.status, request.attempt);
         if (!isUnsigned) {
-            head.headers.add("X-Egretpath-Server-Signature", made.signature);
-            observer_.answered(made);
+            head.headers.add("X-Egretpath-Server-Signature", sentAnswer.signature);
+            observer_.onAnswered(sentAnswer);
         }
-        if (draws(faults_.answerLost)) {
+        if (drawBool(faults_.lostAnswerShare)) {
             exchange.abort();
-        } else if (draws(faults_.cutShort)) {
+        } else if (drawBool(faults_.truncatedShare)) {
             (void)co_await exchange.beginResponse(head, content.size());
             (void)co_await exchange.writeBody(content.substr(0, content.size() / 2));
             exchange.abort();
@@ -280,22 +281,22 @@
 
     [[nodiscard]] bool isCrashing(const ArrivedRequest &request) const
     {
-        return request.target.substr(request.target.rfind('/') + 1).starts_with(options_.crashName);
+        return request.target.substr(request.target.rfind('/') + 1).starts_with(options_.crashPrefix);
     }
 
-    [[nodiscard]] bool draws(double share) { return std::bernoulli_distribution(share)(random_); }
+    [[nodiscard]] bool drawBool(double share) { return std::bernoulli_distribution(share)(random_); }
 
     asio::awaitable<void> varySlowdown()
     {
-        while (!ended_) {
-            slowdown_ = draws(SlowShare) ? SlowPace : 1.0;
+        while (!hasExited_) {
+            slowdown_ = drawBool(SlowShare) ? SlowFactor : 1.0;
             const auto steps = static_cast<Milliseconds::rep>(1 + random_() % 5);
             co_await sleepFor(SlowdownStep * steps);
         }
     }
 
     asio::any_io_executor executor_;
-    SlottedUpstreamOptions options_;
+    StandinUpstreamOptions options_;
     UpstreamObserver &observer_;
     InnerCall innerCall_;
     Random random_;
@@ -305,12 +306,12 @@
     std::uint32_t waiting_ = 0;
     double slowdown_ = 1.0;
     bool draining_ = false;
-    bool ended_ = false;
-    /// Never expires; cancelled when a slot is free or the upstream ends.
-    asio::steady_timer freed_;
+    bool hasExited_ = false;
+    /// Never expires. Cancelled when a slot becomes free, a caller disconnects or the upstream exits.
+    asio::steady_timer slotFreed_;
 };
 
-SlottedUpstream::SlottedUpstream(asio::any_io_executor executor, SlottedUpstreamOptions options,
+StandinUpstream::StandinUpstream(asio::any_io_executor executor, StandinUpstreamOptions options,
                                  UpstreamObserver &observer, InnerCall innerCall)
     : implementation_(
         std::make_shared<Implementation>(std::move(executor), std::move(options), observer, std::move(innerCall)))
@@ -318,27 +319,27 @@
     implementation_->start();
 }
 
-SlottedUpstream::~SlottedUpstream()
+StandinUpstream::~StandinUpstream()
 {
     implementation_->crash();
 }
 
-const SlottedUpstreamOptions &SlottedUpstream::options() const
+const StandinUpstreamOptions &StandinUpstream::options() const
 {
     return implementation_->options();
 }
 
-UpstreamFaults &SlottedUpstream::faults()
+UpstreamFaults &StandinUpstream::faults()
 {
     return implementation_->faults();
 }
 
-void SlottedUpstream::drain()
+void StandinUpstream::drain()
 {
     implementation_->drain();
 }
 
-void SlottedUpstream::crash()
+void StandinUpstream::crash()
 {
     implementation_->crash();
 }
--- a/tests/standins/slottedupstream.h
+++ b/tests/standins/slottedupstream.h
@@ -19,98 +19,99 @@
 namespace Egretpath
 {
 
-/// What an upstream got, as it arrived.
+/// A request as it arrived at an upstream.
 struct ArrivedRequest
 {
     RequestId attempt;
     std::string method;
     std::string target;
     std::string bodyDigest;
-    /// The service that runs on the VM where the request began, as the system says.
+    /// The service on the VM where the request started, as the system reports it.
     ServiceName callerService;
-    /// Time left; negative if the system said nothing.
-    Milliseconds left{-1};
+    /// Time left until the deadline; negative if the request had no deadline.
+    Milliseconds timeLeft{-1};
 };
 
-/// What an upstream answered.
-struct MadeAnswer
+/// An answer that an upstream sent.
+struct UpstreamAnswer
 {
     RequestId attempt;
     std::uint16_t status = 0;
-    /// Says that the answer is this upstream's; empty for one that is not meant to be taken for it.
+    /// Proves that this upstream made the answer; empty if the answer carries no proof.
     std::string signature;
     std::string bodyDigest;
 };
 
-/// Told of everything that one upstream does. Thread safety: none.
+/// Receives the events of upstreams. Thread safety: none.
 class UpstreamObserver
 {
 public:
     virtual ~UpstreamObserver() = default;
-    virtual void arrived(const UpstreamName &upstream, const ServiceName &service, const ArrivedRequest &request) = 0;
-    virtual void runStarted(const UpstreamName &upstream, const ServiceName &service,
-                            const ArrivedRequest &request) = 0;
-    virtual void runEnded(const RequestId &attempt) = 0;
-    virtual void answered(const MadeAnswer &answer) = 0;
-    /// The run of @p request has ended the upstream.
-    virtual void crashedBy(const UpstreamName &upstream, const ArrivedRequest &request) = 0;
+    virtual void onArrived(const UpstreamName &upstream, const ServiceName &service, const ArrivedRequest &request) = 0;
+    virtual void onRunStarted(const UpstreamName &upstream, const ServiceName &service,
+                              const ArrivedRequest &request) = 0;
+    virtual void onRunFinished(const RequestId &attempt) = 0;
+    virtual void onAnswered(const UpstreamAnswer &answer) = 0;
+    /// The run of @p request has crashed the upstream.
+    virtual void onCrashedBy(const UpstreamName &upstream, const ArrivedRequest &request) = 0;
 };
 
 /// How an upstream misbehaves.
 struct UpstreamFaults
 {
-    /// Work takes this many times as long.
-    double slow = 1.0;
-    /// Of the requests, the share that is answered 500 after some work, with a good health check.
-    double failing = 0.0;
-    /// Of the runs, the share whose answer never leaves: the connection is reset.
-    double answerLost = 0.0;
-    /// Of the answers, the share that is cut in the middle.
-    double cutShort = 0.0;
-    /// Of the answers, the share without what proves that they are the upstream's.
+    /// Factor by which work takes longer.
+    double slowFactor = 1.0;
+    /// Share of requests that are answered with 500 after some work, while the health check succeeds.
+    double failingShare = 0.0;
+    /// Share of runs whose answer is never sent; the connection is reset instead.
+    double lostAnswerShare = 0.0;
+    /// Share of answers that are cut off in the middle.
+    double truncatedShare = 0.0;
+    /// Share of answers without the signature that proves that this upstream made them.
     double unsignedShare = 0.0;
-    /// All requests are refused as not run.
-    bool refusing = false;
-    /// Of the requests, the share that is dropped without a word, as by an upstream that is full; nothing more is
-    /// answered on their connections.
-    double hanging = 0.0;
+    /// Whether all requests are refused as not run.
+    bool isRefusing = false;
+    /// Share of requests that are dropped without an answer, as by an overloaded upstream. Nothing more is answered on
+    /// their connections.
+    double hangingShare = 0.0;
 };
 
-struct SlottedUpstreamOptions
+struct StandinUpstreamOptions
 {
     UpstreamName id;
     ServiceName service;
     Endpoint address;
     std::uint32_t slots = 6;
     std::uint32_t queue = 12;
-    /// Work of a request at the usual pace, at the median.
+    /// Median time of work on a request without slowdown.
     Milliseconds work{20};
     std::uint64_t seed = 1;
-    /// The last part of the path of requests whose runs end the upstream begins so.
-    std::string crashName = "crash-";
-    /// Called after such an end.
-    std::function<void()> crashed;
+    /// A request crashes the upstream if the last segment of its path starts with this text.
+    std::string crashPrefix = "crash-";
+    /// Called after such a crash.
+    std::function<void()> onCrashed;
 };
 
-/// A back end beside a node on the platform: works on a few requests at a time, lets a few wait, refuses the rest, and
-/// says in each answer how busy it is and how fast its VM is just now. Thread safety: none.
-class SlottedUpstream
+/// Stand-in for an upstream on the platform. It works on a limited number of requests at a time, queues a few more and
+/// refuses the rest. Each answer reports its load and the current slowdown of its VM. Thread safety: none.
+class StandinUpstream
 {
 public:
-    /// A call that it makes itself through its node while it works; false when that failed.
+    /// A call that the upstream makes through its node while it works, with the target of the request and the time
+    /// left; returns false when the call failed.
     using InnerCall = std::function<boost::asio::awaitable<bool>(std::string, Milliseconds)>;
 
-    SlottedUpstream(boost::asio::any_io_executor executor, SlottedUpstreamOptions options, UpstreamObserver &observer,
+    StandinUpstream(boost::asio::any_io_executor executor, StandinUpstreamOptions options, UpstreamObserver &observer,
                     InnerCall innerCall);
-    ~SlottedUpstream();
-    SlottedUpstream(const SlottedUpstream &) = delete;
-    SlottedUpstream &operator=(const SlottedUpstream &) = delete;
+    ~StandinUpstream();
+    StandinUpstream(const StandinUpstream &) = delete;
+    StandinUpstream &operator=(const StandinUpstream &) = delete;
 
-    [[nodiscard]] const SlottedUpstreamOptions &options() const;
+    [[nodiscard]] const StandinUpstreamOptions &options() const;
     [[nodiscard]] UpstreamFaults &faults();
-    /// It leaves: health checks fail from now on, what comes is still served.
+    /// Starts to drain: health checks fail from now on, requests are still served.
     void drain();
-    /// All connections end at once, as when its process dies.
+    /// Closes all connections at once, as when the process crashes.
     void crash();
 
 private:
--- a/tests/standins/standinanswer.h
+++ b/tests/standins/standinanswer.h
@@ -7,8 +7,8 @@
 namespace Egretpath
 {
 
-/// The body with which a stand-in of an upstream answers: it depends on the request, so that the answer to another
-/// request, or a piece of one, never looks right. Thread safety: safe.
+/// The body of a stand-in upstream's answer. It depends on the request, so that an answer to another request, or a part
+/// of an answer, is detected as wrong. Thread safety: safe.
 [[nodiscard]] std::string standinAnswer(std::string_view requestId, std::string_view bodyDigest, std::size_t bytes);
 
 }
--- a/tests/standins/standinprogram.cpp
+++ b/tests/standins/standinprogram.cpp
@@ -19,14 +19,14 @@
 namespace
 {
 
-constexpr std::chrono::seconds StopLimit{10};
+constexpr std::chrono::seconds StopTimeout{10};
 
 asio::awaitable<void> stopOnSignal(asio::io_context &context, HttpServer &server)
 {
     asio::signal_set signals(context, SIGINT, SIGTERM);
     co_await signals.async_wait(asio::use_awaitable);
     server.stopAccepting();
-    asio::steady_timer limit(context, StopLimit);
+    asio::steady_timer limit(context, StopTimeout);
     limit.async_wait([&context](boost::system::error_code) { context.stop(); });
     co_await server.drained();
     context.stop();
@@ -42,7 +42,8 @@
         std::cerr << bound.error().detail << '\n';
         return EXIT_FAILURE;
     }
-    std::cout << "listening " << bound.value() << std::endl; // Flushed: the starter of the program waits for it.
+    std::cout << "listening " << bound.value()
+              << std::endl; // Flushed, since the process that started the program waits for this line.
     asio::co_spawn(context_, stopOnSignal(context_, server), asio::detached);
     context_.run();
     return EXIT_SUCCESS;
@@ -56,16 +57,16 @@
 
 asio::awaitable<Result<std::string>> readCompleteBody(HttpExchange &exchange)
 {
-    std::string whole;
+    std::string body;
     for (;;) {
         auto piece = co_await exchange.readBody();
         if (!piece) {
             co_return piece.error();
         }
         if (piece.value().empty()) {
-            co_return whole;
+            co_return body;
         }
-        whole += piece.value();
+        body += piece.value();
     }
 }
 
--- a/tests/standins/standinrelay.cpp
+++ b/tests/standins/standinrelay.cpp
@@ -54,7 +54,7 @@
 {
     for (;;) {
         const auto client = std::make_shared<tcp::socket>(co_await acceptor_.async_accept(asio::use_awaitable));
-        if (refusing_) {
+        if (isRefusing_) {
             resetSocket(client);
             continue;
         }
@@ -111,16 +111,16 @@
 
 void StandinRelay::reset(bool refusing)
 {
-    refusing_ = refusing;
+    isRefusing_ = refusing;
     resetAll();
 }
 
 void StandinRelay::silenceOpen()
 {
-    const RelayConditions usual = *conditions_;
+    const RelayConditions previous = *conditions_;
     conditions_->partitioned = true;
     wakeAll();
-    conditions_ = std::make_shared<RelayConditions>(usual);
+    conditions_ = std::make_shared<RelayConditions>(previous);
 }
 
 asio::awaitable<void> StandinRelay::control(HttpExchange &exchange)
@@ -138,15 +138,15 @@
     const std::string cut = target.find("cut").value_or(std::string());
     if (!cut.empty()) {
         conditions_->partitioned = cut == "drop";
-        refusing_ = cut == "reset";
+        isRefusing_ = cut == "reset";
     }
-    if (refusing_) {
+    if (isRefusing_) {
         resetAll();
     }
     wakeAll();
-    const bool known = cut.empty() || cut == "drop" || cut == "reset" || cut == "none";
-    co_await respondText(exchange, known ? OkStatus : BadRequestStatus,
-                         known ? "ok\n" : "cut is one of none, drop, reset\n");
+    const bool isValid = cut.empty() || cut == "drop" || cut == "reset" || cut == "none";
+    co_await respondText(exchange, isValid ? OkStatus : BadRequestStatus,
+                         isValid ? "ok\n" : "cut must be none, drop or reset\n");
 }
 
 }
--- a/tests/standins/standinrelay.h
+++ b/tests/standins/standinrelay.h
@@ -15,24 +15,24 @@
 namespace Egretpath
 {
 
-/// Passes TCP connections on to another address, and delays, slows down, holds back or cuts them on demand. See
+/// Forwards TCP connections to another address, and delays, slows down, holds back or cuts them on demand. See
 /// docs/SOAK.md. Thread safety: none.
 class StandinRelay
 {
 public:
     StandinRelay(boost::asio::any_io_executor executor, boost::asio::ip::tcp::endpoint target);
 
-    /// Listens at @p endpoint and returns where. Throws boost::system::system_error when that fails.
+    /// Listens at @p endpoint and returns the bound address. Throws boost::system::system_error on failure.
     [[nodiscard]] Endpoint listen(const boost::asio::ip::tcp::endpoint &endpoint);
 
-    /// What happens to the bytes of all connections from now on.
+    /// Sets the conditions for all connections from now on.
     void setConditions(const RelayConditions &conditions);
-    /// Resets all connections, and while @p refusing each new one.
+    /// Resets all connections. If @p refusing is true, also resets each new connection until the next call.
     void reset(bool refusing);
-    /// Connections that are open now carry nothing any more and are not closed; new ones work.
+    /// Stops forwarding on the open connections without closing them. New connections work.
     void silenceOpen();
 
-    /// Serves the control endpoint.
+    /// Handles a request to the control endpoint.
     [[nodiscard]] boost::asio::awaitable<void> control(HttpExchange &exchange);
 
 private:
@@ -55,7 +55,7 @@
     boost::asio::ip::tcp::endpoint target_;
     boost::asio::ip::tcp::acceptor acceptor_;
     std::shared_ptr<RelayConditions> conditions_;
-    bool refusing_ = false;
+    bool isRefusing_ = false;
     std::vector<Connection> connections_;
 };
 
--- a/tests/standins/standinstore.cpp
+++ b/tests/standins/standinstore.cpp
@@ -29,8 +29,8 @@
 constexpr std::uint16_t UnavailableStatus = 503;
 /// Small, so that a dozen upstreams already need several pages.
 constexpr std::size_t PageItems = 5;
-constexpr std::uint64_t LongestWait = 30'000;
-constexpr std::size_t HistoryCap = 2000;
+constexpr std::uint64_t MaxWait = 30'000;
+constexpr std::size_t MaxHistory = 2000;
 
 std::string base64Of(const std::string &text)
 {
@@ -42,8 +42,8 @@
     return encoded;
 }
 
-/// Percent signs of a query: "servers%2F" is "servers/".
-std::string decoded(const std::string &text)
+/// Decodes the percent escapes of a query: "servers%2F" is "servers/".
+std::string decodePercent(const std::string &text)
 {
     std::string plain;
     for (std::size_t index = 0; index < text.size(); ++index) {
@@ -58,9 +58,9 @@
     return plain;
 }
 
-std::string textOf(const QueryTarget &target, std::string_view name)
+std::string decodedParameter(const QueryTarget &target, std::string_view name)
 {
-    return decoded(target.find(name).value_or(std::string()));
+    return decodePercent(target.find(name).value_or(std::string()));
 }
 
 }
@@ -115,8 +115,8 @@
 void StandinStore::record(Change change)
 {
     history_.push_back(std::move(change));
-    if (history_.size() > HistoryCap) {
-        forgotten_ = history_.front().revision;
+    if (history_.size() > MaxHistory) {
+        compactedRevision_ = history_.front().revision;
         history_.pop_front();
     }
     changed_.cancel();
@@ -130,26 +130,27 @@
 
 void StandinStore::compact()
 {
-    forgotten_ = revision_;
+    compactedRevision_ = revision_;
     history_.clear();
     changed_.cancel();
 }
 
 asio::awaitable<void> StandinStore::range(HttpExchange &exchange, const QueryTarget &target)
 {
-    co_await answer(exchange, OkStatus, rangeText(textOf(target, "prefix"), textOf(target, "after")));
+    co_await answer(exchange, OkStatus,
+                    rangeText(decodedParameter(target, "prefix"), decodedParameter(target, "after")));
 }
 
 asio::awaitable<void> StandinStore::watch(HttpExchange &exchange, const QueryTarget &target)
 {
-    const std::string prefix = textOf(target, "prefix");
+    const std::string prefix = decodedParameter(target, "prefix");
     const std::uint64_t after = target.number("after").value_or(0);
-    const std::uint64_t wait = std::min(target.number("wait_ms").value_or(0), LongestWait);
+    const std::uint64_t wait = std::min(target.number("wait_ms").value_or(0), MaxWait);
     waits_.push_back(wait);
     co_await waitForChange(exchange, prefix, after, currentTime() + Milliseconds(wait));
     if (mode_ == StoreMode::Down) {
         exchange.abort();
-    } else if (after < forgotten_) {
+    } else if (after < compactedRevision_) {
         co_await answer(exchange, HistoryGoneStatus, "{}");
     } else {
         co_await answer(exchange, OkStatus, changesText(prefix, after));
@@ -166,8 +167,8 @@
         }
     });
     exchange.onCallerDisconnected([this] { changed_.cancel(); });
-    while (!hasChange(prefix, after) && after >= forgotten_ && currentTime() < end && !exchange.callerDisconnected()
-           && mode_ != StoreMode::Down) {
+    while (!hasChange(prefix, after) && after >= compactedRevision_ && currentTime() < end
+           && !exchange.callerDisconnected() && mode_ != StoreMode::Down) {
         boost::system::error_code ignored;
         co_await changed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
@@ -196,13 +197,13 @@
 std::string StandinStore::rangeText(const std::string &prefix, const std::string &after) const
 {
     json::array items;
-    bool more = false;
+    bool hasMore = false;
     for (const auto &[key, item] : items_) {
         if (!key.starts_with(prefix) || key <= after) {
             continue;
         }
         if (items.size() == PageItems) {
-            more = true;
+            hasMore = true;
             break;
         }
         items.push_back(json::object{{"key", key},
@@ -211,7 +212,7 @@
                                      {"created_at", item.createdAt},
                                      {"lease", 0}});
     }
-    return json::serialize(json::object{{"items", std::move(items)}, {"has_more", more}, {"at", revision_}});
+    return json::serialize(json::object{{"items", std::move(items)}, {"has_more", hasMore}, {"at", revision_}});
 }
 
 std::string StandinStore::changesText(const std::string &prefix, std::uint64_t after) const
--- a/tests/standins/standinstore.h
+++ b/tests/standins/standinstore.h
@@ -23,17 +23,18 @@
     Up,
     /// Connections are dropped.
     Down,
-    /// Each call gets 503; nothing is done.
+    /// Each call gets 503 and is not executed.
     Busy,
-    /// Answers come late by StandinStore::setDelay().
+    /// Answers are delayed by the time that StandinStore::setDelay() sets.
     Slow,
-    /// Calls are done and their connections closed without an answer.
+    /// Calls are executed, but their connections are closed without an answer.
     AnswersLost,
 };
 
-/// The platform's store with its published calls: items with revisions, ranges in pages, watches that wait.
+/// Stand-in for the platform's store, with its published calls: items with revisions, paged ranges and long-polling
+/// watches.
 ///
-/// Writing is done by the test itself, as operators and upstreams would. Thread safety: none.
+/// The test writes the items itself, as operators and upstreams would. Thread safety: none.
 class StandinStore
 {
 public:
@@ -46,11 +47,11 @@
     [[nodiscard]] bool contains(const std::string &key) const { return items_.contains(key); }
     void setMode(StoreMode mode);
     void setDelay(Duration delay) { delay_ = delay; }
-    /// Forgets all history: watches that begin before now are told so.
+    /// Discards the history of changes. A watch that starts from an earlier revision gets an error status.
     void compact();
-    /// How long the watches so far wanted to wait, in milliseconds.
+    /// The wait times that watches have asked for so far, in milliseconds.
     [[nodiscard]] const std::vector<std::uint64_t> &waits() const { return waits_; }
-    /// Calls that were answered or refused.
+    /// Number of calls, including those that were refused or dropped.
     [[nodiscard]] std::uint64_t calls() const { return calls_; }
 
 private:
@@ -82,14 +83,14 @@
     boost::asio::any_io_executor executor_;
     std::map<std::string, Item> items_;
     std::deque<Change> history_;
-    /// Changes up to this one are no longer in the history.
-    std::uint64_t forgotten_ = 0;
+    /// Changes up to this revision are no longer in the history.
+    std::uint64_t compactedRevision_ = 0;
     std::uint64_t revision_ = 1;
     std::uint64_t calls_ = 0;
     std::vector<std::uint64_t> waits_;
     StoreMode mode_ = StoreMode::Up;
     Duration delay_ = Milliseconds(300);
-    /// Never expires; cancelled when something changes.
+    /// Never expires. Cancelled when something changes.
     boost::asio::steady_timer changed_;
 };
 
--- a/tests/standins/virtualtime.h
+++ b/tests/standins/virtualtime.h
@@ -10,7 +10,7 @@
 namespace Egretpath
 {
 
-/// A clock that goes from one planned action to the next without waiting. Thread safety: none.
+/// A simulated clock that advances from one planned action to the next without waiting. Thread safety: none.
 class VirtualTime
 {
 public:
@@ -20,11 +20,11 @@
     }
 
     [[nodiscard]] TimePoint now() const { return now_; }
-    /// Calls @p action at @p time; of those at the same time the one planned first goes first.
+    /// Plans to call @p action at @p time. Actions of the same time run in the order in which they were planned.
     void at(TimePoint time, std::function<void()> action);
-    /// Runs what is due until @p end, which is the time then.
+    /// Runs the actions that are due until @p end, then sets the time to @p end.
     void runUntil(TimePoint end);
-    /// Runs all that is due, and what that plans, until nothing is.
+    /// Runs all planned actions, including those that they plan, until none is left.
     void runAll();
 
 private:
