--- a/tests/soak/disturbances.cpp
+++ b/tests/soak/faulthistory.cpp
@@ -1,4 +1,4 @@
-#include "soak/disturbances.h"
+#include "soak/faulthistory.h"
 
 #include <algorithm>
 
--- a/tests/soak/faultinjector.h
+++ b/tests/soak/faultinjector.h
@@ -5,9 +5,9 @@
 
 #include <boost/asio/awaitable.hpp>
 
-#include "soak/disturbances.h"
+#include "soak/faulthistory.h"
 #include "soak/faultplan.h"
-#include "soak/operators.h"
+#include "soak/routepublisher.h"
 #include "soak/soakcallers.h"
 #include "soak/soakdeployment.h"
 
--- a/tests/soak/faultplan.h
+++ b/tests/soak/faultplan.h
@@ -8,7 +8,7 @@
 
 #include "core/clock.h"
 #include "core/random.h"
-#include "soak/disturbances.h"
+#include "soak/faulthistory.h"
 
 namespace Egretpath
 {
--- a/tests/soak/promisechecker.h
+++ b/tests/soak/promisechecker.h
@@ -9,10 +9,10 @@
 
 #include "core/clock.h"
 #include "routes/routetable.h"
-#include "soak/disturbances.h"
+#include "soak/faulthistory.h"
 #include "soak/publishedversions.h"
-#include "soak/stallwatch.h"
-#include "standins/slottedupstream.h"
+#include "soak/stalldetector.h"
+#include "standins/standinupstream.h"
 
 namespace Egretpath
 {
--- a/tests/soak/operators.cpp
+++ b/tests/soak/routepublisher.cpp
@@ -1,4 +1,4 @@
-#include "soak/operators.h"
+#include "soak/routepublisher.h"
 
 #include <array>
 #include <cstdio>
--- a/tests/soak/soakcallers.h
+++ b/tests/soak/soakcallers.h
@@ -10,8 +10,8 @@
 
 #include "core/random.h"
 #include "http/httpconnectionpool.h"
-#include "soak/operators.h"
 #include "soak/promisechecker.h"
+#include "soak/routepublisher.h"
 #include "soak/soakdeployment.h"
 
 namespace Egretpath
--- a/tests/soak/soakdeployment.h
+++ b/tests/soak/soakdeployment.h
@@ -10,12 +10,12 @@
 #include <boost/asio/signal_set.hpp>
 
 #include "http/httpserver.h"
-#include "soak/disturbances.h"
+#include "soak/faulthistory.h"
 #include "soak/nodeprocess.h"
 #include "soak/promisechecker.h"
-#include "standins/slottedupstream.h"
 #include "standins/standinrelay.h"
 #include "standins/standinstore.h"
+#include "standins/standinupstream.h"
 
 namespace Egretpath
 {
--- a/tests/soak/stallwatch.cpp
+++ b/tests/soak/stalldetector.cpp
@@ -1,4 +1,4 @@
-#include "soak/stallwatch.h"
+#include "soak/stalldetector.h"
 
 #include <algorithm>
 #include <utility>
--- a/tests/soak/stallwatch.h
+++ b/tests/soak/stalldetector.h
@@ -3,7 +3,7 @@
 #include <cstddef>
 
 #include "core/clock.h"
-#include "soak/disturbances.h"
+#include "soak/faulthistory.h"
 
 namespace Egretpath
 {
--- a/tests/standins/slottedupstream.cpp
+++ b/tests/standins/standinupstream.cpp
@@ -1,4 +1,4 @@
-#include "standins/slottedupstream.h"
+#include "standins/standinupstream.h"
 
 #include <algorithm>
 #include <random>
