--- a/tests/soak/faulthistory.h
+++ b/tests/soak/faulthistory.h
@@ -32,7 +32,7 @@
 class FaultHistory
 {
 public:
-    /// A fault counts until @p settleTime after its end.
+    /// @p settleTime: a fault still counts for this time after its end.
     explicit FaultHistory(Duration settleTime)
         : settleTime_(settleTime)
     {
--- a/tests/soak/publishedversions.h
+++ b/tests/soak/publishedversions.h
@@ -31,7 +31,7 @@
 
     /// The oldest version that a node may still use at @p at, when changes have to be active after @p bound.
     [[nodiscard]] std::uint64_t oldestActive(TimePoint at, Duration bound) const;
-    /// The newest version that was published until @p at.
+    /// The newest version that was published at @p at or earlier.
     [[nodiscard]] std::uint64_t newest(TimePoint at) const;
 
 private:
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// A node counts as hit by a fault for this time after its end.
+/// A node still counts as hit by a fault for this time after the end of the fault.
 constexpr Milliseconds SettleTime{3000};
 constexpr Milliseconds StartTimeout{20'000};
 constexpr Milliseconds ReadyPollInterval{50};
--- a/tests/standins/standinprogram.cpp
+++ b/tests/standins/standinprogram.cpp
@@ -42,8 +42,8 @@
         std::cerr << bound.error().detail << '\n';
         return EXIT_FAILURE;
     }
-    std::cout << "listening " << bound.value()
-              << std::endl; // Flushed, since the process that started the program waits for this line.
+    // Flushed, since the process that started the program waits for this line.
+    std::cout << "listening " << bound.value() << std::endl;
     asio::co_spawn(context_, stopOnSignal(context_, server), asio::detached);
     context_.run();
     return EXIT_SUCCESS;
