--- a/tests/adapter/storewatchertest.cpp
+++ b/tests/adapter/storewatchertest.cpp
@@ -211,10 +211,10 @@
     fixture.store.put("servers/i-1", entryText("ready"));
     fixture.watcher.resume(StoreRevision(), false, MaxInterval);
     CHECK(fixture.runUntil([&] { return fixture.sink.listReads == 1 && fixture.sink.version == RouteVersion(5); }));
-    CHECK(fixture.runUntil([&] { return fixture.store.waits().size() == 2; }));
+    CHECK(fixture.runUntil([&] { return fixture.store.requestedWaits().size() == 2; }));
     fixture.watcher.resume(StoreRevision(3), false, MaxInterval);
-    CHECK(fixture.runUntil([&] { return fixture.store.waits().size() == 6; }));
-    const std::vector<std::uint64_t> &waits = fixture.store.waits();
+    CHECK(fixture.runUntil([&] { return fixture.store.requestedWaits().size() == 6; }));
+    const std::vector<std::uint64_t> &waits = fixture.store.requestedWaits();
     CHECK(waits[2] < 1000);
     CHECK(waits[3] < 1000);
     CHECK(waits[4] > 10'000);
@@ -262,7 +262,7 @@
         fixture.relay.setConditions(cut);
         REQUIRE(fixture.runUntil([&] { return fixture.sink.isLost; }));
         fixture.context.run_for(SilentTime);
-        fixture.relay.silenceOpen();
+        fixture.relay.silenceOpenConnections();
         fixture.relay.setConditions(RelayConditions());
         const RouteVersion next(6 + static_cast<std::uint64_t>(time));
         fixture.store.put("op/config", routesText("0" + std::to_string(next.value())));
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -217,7 +217,7 @@
 {
     Member &member = deployment_.member(fault.node);
     if (member.peerLink) {
-        member.peerLink->silenceOpen();
+        member.peerLink->silenceOpenConnections();
         co_await sleepFor(fault.length);
     }
 }
@@ -242,7 +242,7 @@
 
 asio::awaitable<void> FaultInjector::silenceStoreLink(PlannedFault fault)
 {
-    deployment_.member(fault.node).storeLink->silenceOpen();
+    deployment_.member(fault.node).storeLink->silenceOpenConnections();
     co_await sleepFor(fault.length);
 }
 
--- a/tests/standins/standinrelay.cpp
+++ b/tests/standins/standinrelay.cpp
@@ -115,7 +115,7 @@
     resetAll();
 }
 
-void StandinRelay::silenceOpen()
+void StandinRelay::silenceOpenConnections()
 {
     const RelayConditions previous = *conditions_;
     conditions_->partitioned = true;
--- a/tests/standins/standinrelay.h
+++ b/tests/standins/standinrelay.h
@@ -30,7 +30,7 @@
     /// Resets all connections. If @p refusing is true, also resets each new connection until the next call.
     void reset(bool refusing);
     /// Stops forwarding on the open connections without closing them. New connections work.
-    void silenceOpen();
+    void silenceOpenConnections();
 
     /// Handles a request to the control endpoint.
     [[nodiscard]] boost::asio::awaitable<void> control(HttpExchange &exchange);
--- a/tests/standins/standinstore.cpp
+++ b/tests/standins/standinstore.cpp
@@ -146,7 +146,7 @@
     const std::string prefix = decodedParameter(target, "prefix");
     const std::uint64_t after = target.number("after").value_or(0);
     const std::uint64_t wait = std::min(target.number("wait_ms").value_or(0), MaxWait);
-    waits_.push_back(wait);
+    requestedWaits_.push_back(wait);
     co_await waitForChange(exchange, prefix, after, currentTime() + Milliseconds(wait));
     if (mode_ == StoreMode::Down) {
         exchange.abort();
--- a/tests/standins/standinstore.h
+++ b/tests/standins/standinstore.h
@@ -50,7 +50,7 @@
     /// Discards the history of changes. A watch that starts from an earlier revision gets an error status.
     void compact();
     /// The wait times that watches have asked for so far, in milliseconds.
-    [[nodiscard]] const std::vector<std::uint64_t> &waits() const { return waits_; }
+    [[nodiscard]] const std::vector<std::uint64_t> &requestedWaits() const { return requestedWaits_; }
     /// Number of calls, including those that were refused or dropped.
     [[nodiscard]] std::uint64_t calls() const { return calls_; }
 
@@ -87,7 +87,7 @@
     std::uint64_t compactedRevision_ = 0;
     std::uint64_t revision_ = 1;
     std::uint64_t calls_ = 0;
-    std::vector<std::uint64_t> waits_;
+    std::vector<std::uint64_t> requestedWaits_;
     StoreMode mode_ = StoreMode::Up;
     Duration delay_ = Milliseconds(300);
     /// Never expires. Cancelled when something changes.
