--- a/src/dialect/callerdialect.cpp
+++ b/src/dialect/callerdialect.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint16_t BadGatewayStatus = 502;
 constexpr std::uint16_t GatewayTimeoutStatus = 504;
 
-/// Refusals for what callers did; all others follow from the verdict.
+/// Maps a reason that the caller is responsible for to its status. The verdict decides the status of all other reasons.
 struct ReasonStatus
 {
     Reason reason;
--- a/src/dialect/callerdialect.h
+++ b/src/dialect/callerdialect.h
@@ -10,31 +10,32 @@
 namespace Egretpath
 {
 
-/// What a caller says of its request in header fields.
+/// The header fields of a request that are meant for the load balancer.
 struct CallerMetadata
 {
-    /// The caller's id of this attempt; empty if it gave none.
+    /// The caller's id of this attempt; empty if the caller gave none.
     RequestId request;
-    /// How long the caller waits; nothing if it does not say.
+    /// How long the caller waits for the answer, from the arrival of the request; nullopt if the caller gave no time.
     std::optional<Milliseconds> patience;
 };
 
-/// The header fields and statuses that callers and this system exchange. One implementation for each interface.
-/// Thread safety: const access may be shared.
+/// Reads and writes the header fields and statuses that callers and the load balancer exchange. Each interface to
+/// callers has its own implementation. Thread safety: const access may be shared.
 class CallerDialect
 {
 public:
     virtual ~CallerDialect() = default;
 
-    /// Errors: BadRequest (NotRun) for fields that can't be read.
+    /// Reads the caller's fields. Errors: BadRequest (NotRun) for fields that can't be read.
     [[nodiscard]] virtual Result<CallerMetadata> read(const HttpHeaders &headers) const = 0;
-    /// The response that tells a caller of @p failure. Precondition: a NotRun verdict is proved.
+    /// Returns the response that reports @p failure to the caller of @p request.
+    /// Precondition: if the verdict is NotRun, it is proved that the request did not run.
     [[nodiscard]] virtual HttpResponseHead refusal(const Failure &failure, const RequestId &request) const = 0;
-    /// The path at which a node says whether it is ready.
+    /// The path at which a node reports whether it is ready.
     [[nodiscard]] virtual std::string_view readinessPath() const = 0;
 };
 
-/// The status that shows @p failure, for interfaces in which 503 promises that a request has not run, and 502 and 504
+/// Returns the status for @p failure in interfaces where 503 promises that the request did not run, and 502 and 504
 /// promise nothing. Thread safety: safe. Errors: none.
 [[nodiscard]] std::uint16_t statusOfRefusal(const Failure &failure);
 
--- a/src/dialect/upstreamdialect.h
+++ b/src/dialect/upstreamdialect.h
@@ -10,52 +10,54 @@
 namespace Egretpath
 {
 
-/// What an upstream is told with each request.
+/// What the node sends to the upstream in header fields of each request.
 struct UpstreamMetadata
 {
-    /// Time left; the upstream stops its work then.
+    /// The time left until the deadline, at which the upstream stops its work.
     Milliseconds left{0};
-    /// Only this upstream may run the request; another one at the address refuses it.
+    /// The only upstream that may run the request. Another upstream that now has the address refuses the request.
     UpstreamName target;
-    /// The service beside whose VM the request began.
+    /// The service of the VM that sent the request.
     ServiceName callerService;
 };
 
-/// What an upstream says of its load with an answer.
+/// The load that an upstream reports with an answer.
 struct UpstreamLoadSample
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     std::uint32_t slots = 0;
-    /// How long work takes on the VM at this moment, in percent of the usual; zero if it does not say.
+    /// How long work currently takes on the VM, in percent of the baseline time; zero if it is not reported.
     std::uint16_t slowdownPercent = 0;
 };
 
-/// What an upstream's answer says in header fields.
+/// What an upstream reports in the header fields and the status of an answer.
 struct UpstreamAnswerMetadata
 {
     /// The upstream states that it did not run the request.
     bool notRun = false;
-    /// Another upstream has the address.
+    /// The answer comes from another upstream, which now has the address.
     bool wrongUpstream = false;
-    /// The answer bears what the upstream adds to all that it made itself; always true of failures.
+    /// The answer has the mark that the upstream adds to each answer it made itself. Always true for failures, which
+    /// need no mark.
     bool isComplete = true;
-    /// The id of the request that is answered; empty if the answer names none.
+    /// The id of the answered request; empty if the answer names none.
     RequestId request;
     std::optional<UpstreamLoadSample> load;
-    /// Who answered; empty if it does not say.
+    /// The upstream that answered; empty if the answer does not name it.
     UpstreamName upstream;
 };
 
-/// The header fields that this system and its upstreams exchange. One implementation for each interface.
-/// Thread safety: const access may be shared.
+/// Reads and writes the header fields that the load balancer and its upstreams exchange. Each interface to upstreams
+/// has its own implementation. Thread safety: const access may be shared.
 class UpstreamDialect
 {
 public:
     virtual ~UpstreamDialect() = default;
 
-    /// Sets the fields that the system itself sets, in place of what a caller sent under their names.
-    virtual void decorate(HttpHeaders &headers, const UpstreamMetadata &terms) const = 0;
+    /// Sets the fields for @p metadata in @p headers and replaces fields of the same names that a caller sent.
+    virtual void decorate(HttpHeaders &headers, const UpstreamMetadata &metadata) const = 0;
+    /// Reads what the upstream reports with an answer.
     [[nodiscard]] virtual UpstreamAnswerMetadata read(const HttpResponseHead &head) const = 0;
 };
 
