--- a/src/settings/durationtext.cpp
+++ b/src/settings/durationtext.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr double MillisecondsInSecond = 1000.0;
-constexpr double LargestMilliseconds = 366.0 * 86'400.0 * MillisecondsInSecond;
+constexpr double MaxMilliseconds = 366.0 * 86'400.0 * MillisecondsInSecond;
 
 }
 
@@ -24,7 +24,7 @@
         return std::nullopt;
     }
     const double milliseconds = unit == "s" ? number * MillisecondsInSecond : number;
-    if (!(milliseconds >= 0.0 && milliseconds <= LargestMilliseconds)) {
+    if (!(milliseconds >= 0.0 && milliseconds <= MaxMilliseconds)) {
         return std::nullopt;
     }
     return Milliseconds(std::llround(milliseconds));
--- a/src/settings/durationtext.h
+++ b/src/settings/durationtext.h
@@ -8,8 +8,8 @@
 namespace Egretpath
 {
 
-/// A time written as a number and its unit, `ms` or `s`: "1500ms", "2.5s". Nothing for any other text, a negative
-/// number, or more than a year. Thread safety: safe. Errors: none.
+/// Reads a duration that is written as a number and a unit, `ms` or `s`: "1500ms", "2.5s". Returns nullopt for any
+/// other text, for a negative number, and for more than a year. Thread safety: safe. Errors: none.
 [[nodiscard]] std::optional<Milliseconds> durationFromText(std::string_view text);
 
 }
--- a/src/settings/endpointtext.cpp
+++ b/src/settings/endpointtext.cpp
@@ -27,8 +27,8 @@
     std::uint16_t port = 0;
     const char *end = text.data() + text.size();
     const auto result = std::from_chars(text.data() + colon + 1, end, port);
-    const bool whole = result.ec == std::errc{} && result.ptr == end;
-    return whole ? std::optional(port) : std::nullopt;
+    const bool isPort = result.ec == std::errc{} && result.ptr == end;
+    return isPort ? std::optional(port) : std::nullopt;
 }
 
 }
--- a/src/settings/settingsfile.cpp
+++ b/src/settings/settingsfile.cpp
@@ -12,14 +12,15 @@
     std::ifstream stream(path, std::ios::binary);
     std::ostringstream text;
     text << stream.rdbuf();
-    // Inserting nothing at all sets the fail bit, so an empty file counts as unreadable; it lacks keys anyway.
+    // Inserting an empty buffer sets the fail bit of `text`, so an empty file counts as unreadable. It would be refused
+    // anyway, since required keys are missing.
     if (!stream.is_open() || !text) {
         return SettingsProblems{{path, 0, {}, "unreadable", "a file that can be read and isn't empty"}};
     }
     return std::move(text).str();
 }
 
-std::string shownValue(const toml::node &node)
+std::string formatValue(const toml::node &node)
 {
     if (const auto text = node.value_exact<std::string>()) {
         return *text;
--- a/src/settings/settingsfile.h
+++ b/src/settings/settingsfile.h
@@ -9,13 +9,14 @@
 namespace Egretpath
 {
 
-/// The text of the settings file at @p path. Errors: a problem if it can't be read or is empty. Thread safety: safe.
+/// Returns the text of the settings file at @p path. Errors: a problem if the file can't be read or is empty.
+/// Thread safety: safe.
 [[nodiscard]] SettingsResult<std::string> readSettingsFile(const std::string &path);
 
-/// A value as a problem shows it: text without quotes, all else as TOML. Thread safety: safe. Errors: none.
-[[nodiscard]] std::string shownValue(const toml::node &node);
+/// Formats a value for a problem: text without quotes, all other types as TOML. Thread safety: safe. Errors: none.
+[[nodiscard]] std::string formatValue(const toml::node &node);
 
-/// The problem of text that is no TOML. Thread safety: safe. Errors: none.
+/// Returns the problem to report for text that is not TOML. Thread safety: safe. Errors: none.
 [[nodiscard]] SettingsProblems syntaxProblem(const toml::parse_error &error, std::string_view file);
 
 }
--- a/src/settings/settingsproblem.h
+++ b/src/settings/settingsproblem.h
@@ -13,30 +13,30 @@
 struct SettingsProblem
 {
     std::string file;
-    /// The line of the file, from 1. Zero means the whole file, for example for a key that is missing.
+    /// The line of the file, counted from 1. Zero means the whole file, for example if a key is missing.
     std::size_t line = 0;
-    /// Group and key, for example `limits.header_bytes`.
+    /// The group and the key, for example `limits.header_bytes`.
     std::string key;
-    /// What stands there; empty when nothing does.
+    /// The refused value; empty if there is none.
     std::string value;
-    /// What would be accepted, in plain language with its unit.
+    /// Describes the accepted values in plain language, with their unit.
     std::string allowed;
 
     friend bool operator==(const SettingsProblem &, const SettingsProblem &) = default;
 };
 
-/// Every problem that was found, in the order of the lines. Never empty when it is an error.
+/// All problems that were found, in the order in which the keys are read. Never empty as the error of a result.
 using SettingsProblems = std::vector<SettingsProblem>;
 
 template<typename Value>
 using SettingsResult = boost::outcome_v2::result<Value, SettingsProblems, boost::outcome_v2::policy::all_narrow>;
 
-/// One line for operators, for example
+/// Formats @p problem as one line for operators, for example
 /// `node.toml: line 4, key limits.header_bytes: "big" is not allowed; allowed: a whole number of bytes from ...`.
 /// Preconditions: none. Thread safety: safe. Errors: none.
 [[nodiscard]] std::string toString(const SettingsProblem &problem);
 
-/// All problems, each on its own line. Preconditions: none. Thread safety: safe. Errors: none.
+/// Formats all problems, each on its own line. Preconditions: none. Thread safety: safe. Errors: none.
 [[nodiscard]] std::string toString(const SettingsProblems &problems);
 
 }
--- a/src/settings/sidecarsettings.cpp
+++ b/src/settings/sidecarsettings.cpp
@@ -24,10 +24,10 @@
 constexpr std::string_view AllowedDuration = "a time such as \"1500ms\" or \"2.5s\", from 0 to 1 hour";
 constexpr std::string_view AllowedNumber = "a number from 0 to 1000000";
 constexpr std::string_view AllowedLevel = "one of trace, debug, info, warn, error";
-constexpr std::size_t NameCap = 200;
-constexpr double NumberCap = 1e6;
-constexpr Milliseconds DurationCap{3'600'000};
-constexpr std::array<std::string_view, 5> Levels{"trace", "debug", "info", "warn", "error"};
+constexpr std::size_t MaxNameLength = 200;
+constexpr double MaxNumber = 1e6;
+constexpr Milliseconds MaxDuration{3'600'000};
+constexpr std::array<std::string_view, 5> LevelNames{"trace", "debug", "info", "warn", "error"};
 
 bool isEndpoint(std::string_view text)
 {
@@ -36,11 +36,11 @@
 
 enum class Presence : std::uint8_t { Required, Optional };
 
-/// Reads known keys of one parsed file and collects what is wrong.
-class Reader
+/// Reads the known keys of one parsed file and collects the problems.
+class SettingsReader
 {
 public:
-    Reader(const toml::table &root, std::string_view file)
+    SettingsReader(const toml::table &root, std::string_view file)
         : root_(root)
         , file_(file)
     {
@@ -83,9 +83,9 @@
 private:
     using Node = toml::node;
 
-    void refuse(const Node *node, std::string_view group, std::string_view key, std::string_view allowed)
+    void addProblem(const Node *node, std::string_view group, std::string_view key, std::string_view allowed)
     {
-        std::string value = node == nullptr ? std::string() : shownValue(*node);
+        std::string value = node == nullptr ? std::string() : formatValue(*node);
         const std::size_t line = node == nullptr ? 0 : node->source().begin.line;
         problems_.push_back(
             {file_, line, std::string(group) + "." + std::string(key), std::move(value), std::string(allowed)});
@@ -100,8 +100,8 @@
     {
         const Node *node = find(group, key);
         const auto text = node == nullptr ? std::nullopt : node->value_exact<std::string>();
-        if (!text || text->empty() || text->size() > NameCap) {
-            refuse(node, group, key, AllowedName);
+        if (!text || text->empty() || text->size() > MaxNameLength) {
+            addProblem(node, group, key, AllowedName);
             return;
         }
         target = *text;
@@ -124,15 +124,16 @@
             return;
         }
         if (!text || !isEndpoint(*text)) {
-            refuse(node, group, key, AllowedEndpoint);
+            addProblem(node, group, key, AllowedEndpoint);
             return;
         }
         target = Endpoint(*text);
     }
 
-    /// @p take returns whether one text of the list is @p allowed.
+    /// Passes each text of the list to @p accept, which returns whether the text is valid. @p allowed describes valid
+    /// texts in problems.
     void readList(std::string_view group, std::string_view key, std::string_view allowed,
-                  const std::function<bool(const std::string &)> &take)
+                  const std::function<bool(const std::string &)> &accept)
     {
         const Node *node = find(group, key);
         if (node == nullptr) {
@@ -140,13 +141,13 @@
         }
         const toml::array *array = node->as_array();
         if (array == nullptr) {
-            refuse(node, group, key, "a list, each item " + std::string(allowed));
+            addProblem(node, group, key, "a list, each item " + std::string(allowed));
             return;
         }
         for (const Node &item : *array) {
             const auto text = item.value_exact<std::string>();
-            if (!text || !take(*text)) {
-                refuse(&item, group, key, allowed);
+            if (!text || !accept(*text)) {
+                addProblem(&item, group, key, allowed);
             }
         }
     }
@@ -160,7 +161,7 @@
         for (const auto &[zone, node] : *table) {
             const auto region = node.value_exact<std::string>();
             if (!region || region->empty()) {
-                refuse(&node, "zones", zone.str(), AllowedName);
+                addProblem(&node, "zones", zone.str(), AllowedName);
                 continue;
             }
             zones.push_back({ZoneName(std::string(zone.str())), RegionName(*region)});
@@ -174,8 +175,8 @@
             return;
         }
         const auto number = node->value<double>();
-        if (!number || !(*number >= 0.0 && *number <= NumberCap)) {
-            refuse(node, group, key, AllowedNumber);
+        if (!number || !(*number >= 0.0 && *number <= MaxNumber)) {
+            addProblem(node, group, key, AllowedNumber);
             return;
         }
         target = *number;
@@ -189,8 +190,8 @@
         }
         const auto text = node->value_exact<std::string>();
         const auto duration = text ? durationFromText(*text) : std::nullopt;
-        if (!duration || *duration > DurationCap) {
-            refuse(node, group, key, AllowedDuration);
+        if (!duration || *duration > MaxDuration) {
+            addProblem(node, group, key, AllowedDuration);
             return;
         }
         target = *duration;
@@ -206,12 +207,12 @@
             return;
         }
         const auto text = node->value_exact<std::string>();
-        const auto *level = std::find(Levels.begin(), Levels.end(), text.value_or(std::string()));
-        if (level == Levels.end()) {
-            refuse(node, "log", "level", AllowedLevel);
+        const auto *level = std::find(LevelNames.begin(), LevelNames.end(), text.value_or(std::string()));
+        if (level == LevelNames.end()) {
+            addProblem(node, "log", "level", AllowedLevel);
             return;
         }
-        settings.logLevel = static_cast<LogLevel>(level - Levels.begin());
+        settings.logLevel = static_cast<LogLevel>(level - LevelNames.begin());
     }
 
     const toml::table &root_;
@@ -223,14 +224,14 @@
 
 std::string_view toString(LogLevel level)
 {
-    return Levels.at(static_cast<std::size_t>(level));
+    return LevelNames.at(static_cast<std::size_t>(level));
 }
 
 SettingsResult<SidecarSettings> readSidecarSettings(std::string_view text, std::string_view file)
 {
     try {
         const toml::table root = toml::parse(text, file);
-        return Reader(root, file).read();
+        return SettingsReader(root, file).read();
     } catch (const toml::parse_error &error) {
         return syntaxProblem(error, file);
     }
--- a/src/settings/sidecarsettings.h
+++ b/src/settings/sidecarsettings.h
@@ -14,7 +14,7 @@
 namespace Egretpath
 {
 
-/// Where an availability zone lies.
+/// An availability zone and its region.
 struct ZonePlace
 {
     ZoneName zone;
@@ -29,11 +29,11 @@
     Error,
 };
 
-/// The word for @p level in settings. Thread safety: safe.
+/// Returns the name that the settings use for @p level. Thread safety: safe.
 [[nodiscard]] std::string_view toString(LogLevel level);
 
-/// All settings of a node that runs beside an upstream on a platform. Plain data; made whole and in range by
-/// readSidecarSettings(). docs/SETTINGS.md describes each key.
+/// All settings of a node that runs beside an upstream on a platform. Plain data; readSidecarSettings() guarantees that
+/// no required value is missing and that all values are in range. docs/SETTINGS.md describes each key.
 struct SidecarSettings
 {
     // [node]
@@ -46,7 +46,7 @@
     Endpoint callers;
     Endpoint ready;
     Endpoint peers;
-    /// Where starting nodes ask; empty if this node isn't asked.
+    /// The endpoint at which starting nodes request the catalog; empty if this node does not serve them.
     Endpoint starters;
     Endpoint metrics;
 
@@ -64,17 +64,17 @@
     double repeatSlack = 0.0;
 
     // [quarantine]
-    /// Fingerprints of requests that are run even if upstreams ended with them under way.
+    /// Fingerprints of requests that may run even if upstreams crashed while running them.
     std::vector<Digest> allowedRequests;
 
     // [links]
     LinkPrices linkPrices;
 
-    // [zones]: the region of each availability zone.
+    // [zones]: each key is an availability zone, its value the zone's region.
     std::vector<ZonePlace> zones;
 
     // [stop]
-    /// After SIGTERM the process may live for so long.
+    /// The longest time from SIGTERM until the process exits.
     Milliseconds grace{6000};
 
     // [log]
@@ -82,10 +82,10 @@
     std::uint32_t decisionsPerSecond = 200;
 };
 
-/// Reads settings from TOML @p text; @p file only names them in problems. Errors: all problems at once; of text that is
-/// no TOML the first error. Thread safety: safe.
+/// Reads settings from TOML @p text; @p file is only the file name in problems. Errors: all problems together; for text
+/// that is not TOML only the first error. Thread safety: safe.
 [[nodiscard]] SettingsResult<SidecarSettings> readSidecarSettings(std::string_view text, std::string_view file);
-/// As above, from the file at @p path. Errors: also a file that can't be read.
+/// Reads settings from the file at @p path. Errors: as above, and a file that can't be read. Thread safety: safe.
 [[nodiscard]] SettingsResult<SidecarSettings> readSidecarSettingsFile(const std::string &path);
 
 }
--- a/tests/settings/sidecarsettingstest.cpp
+++ b/tests/settings/sidecarsettingstest.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-const std::string Good = R"([node]
+const std::string ValidSettings = R"([node]
 name = "sidecar-1"
 service = "statements"
 region = "north"
@@ -57,9 +57,9 @@
 
 }
 
-TEST_CASE("settings are read whole")
+TEST_CASE("all valid settings are read")
 {
-    const auto settings = readSidecarSettings(Good, "sidecar.toml");
+    const auto settings = readSidecarSettings(ValidSettings, "sidecar.toml");
     REQUIRE(settings);
     CHECK(settings.value().service == ServiceName("statements"));
     CHECK(settings.value().peers == Endpoint("10.1.0.8:7620"));
@@ -70,9 +70,9 @@
     CHECK(settings.value().grace == Milliseconds(6000));
 }
 
-TEST_CASE("all that is wrong is told at once, with line, key and what is allowed")
+TEST_CASE("all problems are reported at once, each with its line, its key and what is allowed")
 {
-    std::string text = replaced(Good, "zone = \"north-a\"\n", "");
+    std::string text = replaced(ValidSettings, "zone = \"north-a\"\n", "");
     text = replaced(text, "10.1.0.8:8304", "everywhere");
     text = replaced(text, "\"6s\"", "\"6 minutes\"");
     text = replaced(text, "ratio = 0.2", "ratio = -1");
@@ -89,23 +89,23 @@
 
 TEST_CASE("requests that operators allow are named by fingerprints")
 {
-    const std::string allowed = Good + "[quarantine]\nallow = [\"00000000000000010000000000000002\"]\n";
+    const std::string allowed = ValidSettings + "[quarantine]\nallow = [\"00000000000000010000000000000002\"]\n";
     const auto settings = readSidecarSettings(allowed, "sidecar.toml");
     REQUIRE(settings);
     CHECK(settings.value().allowedRequests == std::vector<Digest>{{1, 2}});
-    const auto bad = readSidecarSettings(Good + "[quarantine]\nallow = [\"2\"]\n", "sidecar.toml");
+    const auto bad = readSidecarSettings(ValidSettings + "[quarantine]\nallow = [\"2\"]\n", "sidecar.toml");
     REQUIRE_FALSE(bad);
     CHECK(keysOf(bad.error()) == "quarantine.allow ");
 }
 
-TEST_CASE("text that is no TOML and a file that is not there are problems as well")
+TEST_CASE("text that is not TOML and a missing file are reported as problems")
 {
     CHECK_FALSE(readSidecarSettings("[node", "sidecar.toml"));
     CHECK_FALSE(readSidecarSettings("", "sidecar.toml"));
     CHECK_FALSE(readSidecarSettingsFile("/nowhere/sidecar.toml"));
 }
 
-TEST_CASE("times are a number and its unit")
+TEST_CASE("durations consist of a number and a unit")
 {
     CHECK(durationFromText("1500ms") == Milliseconds(1500));
     CHECK(durationFromText("2.5s") == Milliseconds(2500));
