--- a/src/telemetry/eventlog.cpp
+++ b/src/telemetry/eventlog.cpp
@@ -16,15 +16,16 @@
 namespace
 {
 
-constexpr const char *Pattern = "%d{yyyy-MM-ddTHH:mm:ss.SSSZ}{GMT} %p %m%n";
+constexpr const char *LinePattern = "%d{yyyy-MM-ddTHH:mm:ss.SSSZ}{GMT} %p %m%n";
 
-/// Of the limit, the share that routine decisions may use; the rest is for failures.
+/// The share of the limit that routine decisions may use. The rest is reserved for failures.
 constexpr double RoutineShare = 0.7;
 
-/// Null for a file, which log4cxx writes.
-std::shared_ptr<StreamAppender> makeStream(const EventLogSettings &settings)
+/// Returns the appender for standard output or standard error. Returns null if the log goes to a file, for which the
+/// appender of log4cxx is used.
+std::shared_ptr<StreamAppender> makeStreamAppender(const EventLogSettings &settings)
 {
-    const auto layout = std::make_shared<log4cxx::PatternLayout>(Pattern);
+    const auto layout = std::make_shared<log4cxx::PatternLayout>(LinePattern);
     if (settings.file == EventLogSettings::StandardOutput) {
         return std::make_shared<StreamAppender>(STDOUT_FILENO, layout);
     }
@@ -34,12 +35,13 @@
     return nullptr;
 }
 
-log4cxx::AppenderPtr makeAppender(const EventLogSettings &settings, const std::shared_ptr<StreamAppender> &stream)
+log4cxx::AppenderPtr makeAppender(const EventLogSettings &settings,
+                                  const std::shared_ptr<StreamAppender> &streamAppender)
 {
-    if (stream) {
-        return stream;
+    if (streamAppender) {
+        return streamAppender;
     }
-    return std::make_shared<log4cxx::FileAppender>(std::make_shared<log4cxx::PatternLayout>(Pattern), settings.file,
+    return std::make_shared<log4cxx::FileAppender>(std::make_shared<log4cxx::PatternLayout>(LinePattern), settings.file,
                                                    true);
 }
 
@@ -49,8 +51,8 @@
 {
 public:
     explicit Implementation(const EventLogSettings &settings)
-        : stream_(makeStream(settings))
-        , appender_(makeAppender(settings, stream_))
+        : streamAppender_(makeStreamAppender(settings))
+        , appender_(makeAppender(settings, streamAppender_))
         , logger_(log4cxx::Logger::getLogger("egretpath"))
     {
         logger_->setAdditivity(false);
@@ -64,17 +66,17 @@
 
     [[nodiscard]] const log4cxx::LoggerPtr &logger() const { return logger_; }
 
-    [[nodiscard]] std::uint64_t linesLost() const { return stream_ ? stream_->dropped() : 0; }
+    [[nodiscard]] std::uint64_t linesLost() const { return streamAppender_ ? streamAppender_->dropped() : 0; }
 
 private:
-    std::shared_ptr<StreamAppender> stream_;
+    std::shared_ptr<StreamAppender> streamAppender_;
     log4cxx::AppenderPtr appender_;
     log4cxx::LoggerPtr logger_;
 };
 
 EventLog::EventLog(const EventLogSettings &settings)
     : implementation_(std::make_unique<Implementation>(settings))
-    , limit_(settings.decisionsPerSecond)
+    , maxDecisionsPerSecond_(settings.decisionsPerSecond)
 {
 }
 
@@ -85,17 +87,19 @@
     if (!implementation_->logger()->isInfoEnabled()) {
         return false;
     }
-    if (now - second_ >= std::chrono::seconds(1)) {
-        second_ = now;
+    if (now - secondStart_ >= std::chrono::seconds(1)) {
+        secondStart_ = now;
         writtenInSecond_ = 0;
         if (const std::uint64_t lost = std::exchange(droppedInSecond_, 0); lost > 0) {
             warning(StructuredLine("decisions-dropped").add("count", lost));
         }
     }
     const bool isFailure = weight == DecisionWeight::Failure;
-    const auto limit = isFailure ? limit_ : static_cast<std::uint64_t>(RoutineShare * static_cast<double>(limit_));
+    const auto limit = isFailure
+        ? maxDecisionsPerSecond_
+        : static_cast<std::uint64_t>(RoutineShare * static_cast<double>(maxDecisionsPerSecond_));
     if (writtenInSecond_ >= limit) {
-        ++dropped_;
+        ++droppedDecisions_;
         ++droppedInSecond_;
         return false;
     }
--- a/src/telemetry/eventlog.h
+++ b/src/telemetry/eventlog.h
@@ -11,34 +11,34 @@
 namespace Egretpath
 {
 
-/// Where and how much an EventLog writes.
+/// Where an EventLog writes and how much.
 struct EventLogSettings
 {
-    /// For `file`: standard output.
+    /// The value of `file` for standard output.
     static constexpr std::string_view StandardOutput = "stdout";
 
-    /// A file, "-" for standard error, or StandardOutput. The VMs keep no disk, so a stream is the usual choice.
+    /// The path of a file, "-" for standard error, or StandardOutput. Nodes use a stream, since the VMs keep no disk.
     std::string file = "-";
-    /// trace, debug, info, warn, error or off.
+    /// One of trace, debug, info, warn, error and off.
     std::string level = "info";
-    /// Lines of decisions written in a second at most; further ones are counted and dropped.
+    /// The maximum of decision lines per second. Further lines are dropped and counted.
     std::uint64_t decisionsPerSecond = 200;
 };
 
-/// Which decisions are kept when there are more than may be written.
+/// The kind of a decision. Failures may use the whole limit of decision lines, routine decisions only a part.
 enum class DecisionWeight : std::uint8_t {
-    /// A step on the way, or a request that ended well.
+    /// A step of a request, or the end of a request that succeeded.
     Routine,
-    /// A request that failed or was refused; its lines are what an operator looks for.
+    /// A request that failed or was refused. These are the lines that operators look for.
     Failure,
 };
 
-/// Writes structured lines through log4cxx: decisions under a rate limit, all other events without one.
+/// Writes structured lines through log4cxx. Decisions are rate-limited; all other events are not.
 ///
-/// A load spike must not turn into a spike of log writing, so decisions over the limit are dropped and their count is
-/// written with the next second's first line. A part of the limit is kept for failures. Standard output and error are
-/// never waited for; see StreamAppender. Preconditions: none. Thread safety: none. Errors: a file that can't be opened
-/// is reported by log4cxx on standard error and nothing is written.
+/// A load spike must not cause a spike of log writing. Decisions over the limit are therefore dropped, and their count
+/// is written before the first decision of the next second. A part of the limit is reserved for failures. The log never
+/// waits for standard output or standard error; see StreamAppender. Preconditions: none. Thread safety: none. Errors:
+/// if a file can't be opened, log4cxx reports it on standard error and nothing is written.
 class EventLog
 {
 public:
@@ -47,28 +47,30 @@
     EventLog(const EventLog &) = delete;
     EventLog &operator=(const EventLog &) = delete;
 
-    /// Whether a decision written now would pass level and limit. Counts a dropped one if not; ask before building the
-    /// line, so that a dropped line costs nothing.
+    /// Returns whether a decision may be written at @p now under the level and the limit. Counts the decision as
+    /// written or, if it is over the limit, as dropped. Call this before building the line, so that a dropped line
+    /// costs nothing.
     [[nodiscard]] bool admitsDecision(TimePoint now, DecisionWeight weight);
-    /// Precondition: admitsDecision() returned true.
+    /// Writes a decision. Precondition: admitsDecision() returned true for it.
     void decision(const StructuredLine &line);
     void info(const StructuredLine &line);
     void warning(const StructuredLine &line);
     void error(const StructuredLine &line);
 
-    [[nodiscard]] std::uint64_t droppedDecisions() const { return dropped_; }
-    /// Lines of any kind that found the output full.
+    /// Decisions that were dropped because of the limit.
+    [[nodiscard]] std::uint64_t droppedDecisions() const { return droppedDecisions_; }
+    /// Lines of any kind that were lost because the output was full.
     [[nodiscard]] std::uint64_t linesLost() const;
 
 private:
     class Implementation;
 
     std::unique_ptr<Implementation> implementation_;
-    std::uint64_t limit_;
-    std::uint64_t dropped_ = 0;
+    std::uint64_t maxDecisionsPerSecond_;
+    std::uint64_t droppedDecisions_ = 0;
     std::uint64_t droppedInSecond_ = 0;
     std::uint64_t writtenInSecond_ = 0;
-    TimePoint second_;
+    TimePoint secondStart_;
 };
 
 }
--- a/src/telemetry/latencyhistogram.cpp
+++ b/src/telemetry/latencyhistogram.cpp
@@ -10,18 +10,18 @@
 namespace
 {
 
-constexpr double SmallestSeconds = 50e-6;
-constexpr double LargestSeconds = 60.0;
+constexpr double MinSeconds = 50e-6;
+constexpr double MaxSeconds = 60.0;
 constexpr unsigned BucketCount = 40;
 
 using Axis = bh::axis::regular<double, bh::axis::transform::log>;
-using Histogram = decltype(bh::make_histogram(Axis(1, SmallestSeconds, LargestSeconds)));
+using Histogram = decltype(bh::make_histogram(Axis(1, MinSeconds, MaxSeconds)));
 
-void appendBucket(std::string &text, std::string_view name, std::string_view labels, const std::string &edge,
+void appendBucket(std::string &text, std::string_view name, std::string_view labels, const std::string &upperEdge,
                   double count)
 {
     text.append(name).append("_bucket{").append(labels);
-    text.append(labels.empty() ? "le=\"" : ",le=\"").append(edge).append("\"} ");
+    text.append(labels.empty() ? "le=\"" : ",le=\"").append(upperEdge).append("\"} ");
     text.append(std::to_string(static_cast<std::uint64_t>(count))).append("\n");
 }
 
@@ -30,7 +30,7 @@
 class LatencyHistogram::Implementation
 {
 public:
-    Histogram histogram = bh::make_histogram(Axis(BucketCount, SmallestSeconds, LargestSeconds));
+    Histogram histogram = bh::make_histogram(Axis(BucketCount, MinSeconds, MaxSeconds));
     double sum = 0.0;
     double count = 0.0;
 };
@@ -52,12 +52,12 @@
 
 Duration LatencyHistogram::quantile(double quantile) const
 {
-    double seen = 0;
+    double cumulativeCount = 0;
     for (const auto &bucket : bh::indexed(implementation_->histogram, bh::coverage::all)) {
-        seen += *bucket;
-        if (seen > 0 && seen >= quantile * implementation_->count) {
-            const double edge = std::min(bucket.bin().upper(), LargestSeconds);
-            return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(edge));
+        cumulativeCount += *bucket;
+        if (cumulativeCount > 0 && cumulativeCount >= quantile * implementation_->count) {
+            const double upperEdge = std::min(bucket.bin().upper(), MaxSeconds);
+            return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(upperEdge));
         }
     }
     return Duration::zero();
@@ -65,11 +65,11 @@
 
 void LatencyHistogram::appendText(std::string &text, std::string_view name, std::string_view labels) const
 {
-    double seen = 0;
+    double cumulativeCount = 0;
     for (const auto &bucket : bh::indexed(implementation_->histogram, bh::coverage::all)) {
-        seen += *bucket;
-        if (bucket.bin().upper() <= LargestSeconds) {
-            appendBucket(text, name, labels, std::to_string(bucket.bin().upper()), seen);
+        cumulativeCount += *bucket;
+        if (bucket.bin().upper() <= MaxSeconds) {
+            appendBucket(text, name, labels, std::to_string(bucket.bin().upper()), cumulativeCount);
         }
     }
     appendBucket(text, name, labels, "+Inf", implementation_->count);
--- a/src/telemetry/metrics.cpp
+++ b/src/telemetry/metrics.cpp
@@ -24,12 +24,12 @@
 const Value *find(const std::map<std::string, std::map<std::string, Value>> &series, const std::string &name,
                   const std::string &labels)
 {
-    const auto named = series.find(name);
-    if (named == series.end()) {
+    const auto withName = series.find(name);
+    if (withName == series.end()) {
         return nullptr;
     }
-    const auto labelled = named->second.find(labels);
-    return labelled == named->second.end() ? nullptr : &labelled->second;
+    const auto withLabels = withName->second.find(labels);
+    return withLabels == withName->second.end() ? nullptr : &withLabels->second;
 }
 
 }
--- a/src/telemetry/metrics.h
+++ b/src/telemetry/metrics.h
@@ -10,7 +10,7 @@
 namespace Egretpath
 {
 
-/// Counters, gauges and latency histograms of one process, printed in the text format that Prometheus scrapes.
+/// The counters, gauges and latency histograms of one process, printed in the text format of Prometheus.
 ///
 /// Preconditions: names and labels are valid for Prometheus; labels are empty or `key="value",...`.
 /// Thread safety: none. Errors: none.
@@ -19,13 +19,16 @@
 public:
     /// Adds @p amount to a counter, which starts at zero.
     void count(const std::string &name, const std::string &labels = {}, std::uint64_t amount = 1);
-    /// Sets a value that may fall as well.
+    /// Sets a gauge, whose value may also fall.
     void set(const std::string &name, const std::string &labels, double value);
+    /// Adds a duration to a latency histogram.
     void record(const std::string &name, const std::string &labels, Duration duration);
 
+    /// Returns the value of a counter; zero if it was never counted.
     [[nodiscard]] std::uint64_t counter(const std::string &name, const std::string &labels = {}) const;
+    /// Returns a latency histogram; null if nothing was recorded in it.
     [[nodiscard]] const LatencyHistogram *latency(const std::string &name, const std::string &labels) const;
-    /// All of them, sorted by name.
+    /// Returns the text of all metrics: counters, gauges and histograms, each group sorted by name.
     [[nodiscard]] std::string text() const;
 
 private:
--- a/src/telemetry/streamappender.cpp
+++ b/src/telemetry/streamappender.cpp
@@ -7,7 +7,7 @@
 #include <poll.h>
 #include <unistd.h>
 
-// Its macro opens a namespace of log4cxx and must stand outside all others.
+// The macro opens a namespace of log4cxx and must be used outside of all namespaces.
 using Egretpath::StreamAppender;
 IMPLEMENT_LOG4CXX_OBJECT(StreamAppender)
 
@@ -17,12 +17,14 @@
 namespace
 {
 
-/// Lines kept while the stream is full: some seconds of what a node says of itself, at 300 bytes about 60 KB.
-constexpr std::size_t KeptLines = 200;
-/// A pipe that is ready takes this much in one piece and at once; a longer line could still block.
-constexpr std::size_t LongestLine = PIPE_BUF;
+/// The maximum of lines that are buffered while the stream is full: some seconds of a node's log. At 300 bytes a line
+/// they take about 60 KB.
+constexpr std::size_t MaxBufferedLines = 200;
+/// A pipe that is ready for writing takes a line of this size as one piece and without blocking. A longer line could
+/// still block.
+constexpr std::size_t MaxLineSize = PIPE_BUF;
 
-bool takesNow(int descriptor)
+bool isWritable(int descriptor)
 {
     pollfd entry{descriptor, POLLOUT, 0};
     return poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
@@ -45,43 +47,45 @@
 {
     std::string line;
     getLayout()->format(line, event, pool);
-    if (line.size() > LongestLine) {
-        line.resize(LongestLine - 1);
+    if (line.size() > MaxLineSize) {
+        line.resize(MaxLineSize - 1);
         line += '\n';
     }
-    put(std::move(line));
+    writeOrBuffer(std::move(line));
 }
 
-void StreamAppender::put(std::string line)
+void StreamAppender::writeOrBuffer(std::string line)
 {
-    writeKept();
-    if (kept_.empty() && write(line)) {
+    flushBuffer();
+    if (bufferedLines_.empty() && write(line)) {
         return;
     }
-    if (kept_.size() < KeptLines) {
-        kept_.push_back(std::move(line));
+    if (bufferedLines_.size() < MaxBufferedLines) {
+        bufferedLines_.push_back(std::move(line));
         return;
     }
-    ++dropped_;
-    ++untold_;
+    ++droppedLines_;
+    ++unreportedDrops_;
 }
 
-void StreamAppender::writeKept()
+void StreamAppender::flushBuffer()
 {
-    while (!kept_.empty() && write(kept_.front())) {
-        kept_.pop_front();
+    while (!bufferedLines_.empty() && write(bufferedLines_.front())) {
+        bufferedLines_.pop_front();
     }
-    if (kept_.empty() && untold_ > 0) {
-        const std::string line = "WARN event=lines-dropped count=" + std::to_string(untold_) + " why=\"output full\"\n";
+    if (bufferedLines_.empty() && unreportedDrops_ > 0) {
+        const std::string line =
+            "WARN event=lines-dropped count=" + std::to_string(unreportedDrops_) + " why=\"output full\"\n";
         if (write(line)) {
-            untold_ = 0;
+            unreportedDrops_ = 0;
         }
     }
 }
 
 bool StreamAppender::write(const std::string &line)
 {
-    return takesNow(descriptor_) && ::write(descriptor_, line.data(), line.size()) == static_cast<ssize_t>(line.size());
+    return isWritable(descriptor_)
+        && ::write(descriptor_, line.data(), line.size()) == static_cast<ssize_t>(line.size());
 }
 
 }
--- a/src/telemetry/streamappender.h
+++ b/src/telemetry/streamappender.h
@@ -9,15 +9,16 @@
 namespace Egretpath
 {
 
-/// The macros below name it without its namespace.
+/// The macros below use this name without its namespace.
 namespace helpers = log4cxx::helpers;
 
-/// Writes log lines to a stream without ever waiting for its reader.
+/// Writes log lines to a stream and never waits for the reader of the stream.
 ///
-/// Guards against a collector that stops reading: a pipe that is full would hold the writing thread, and with it every
-/// request of the node. A line is written only when the stream takes it at once. Lines that find it full are kept up to
-/// a bound and written when it takes lines again, in their order; those beyond it are counted, and a line says so.
-/// Thread safety: as log4cxx' appenders. Errors: a stream that fails loses its lines; they are counted too.
+/// Guards against a log collector that stops reading: a write to the full pipe would block the thread, and with it
+/// every request of the node. A line is written only if the stream accepts it without blocking. While the stream is
+/// full, a bounded number of lines is buffered; they are written in their order once the stream accepts lines again.
+/// Further lines are dropped, and a log line reports their count. Thread safety: as the appenders of log4cxx. Errors:
+/// if the stream fails, lines are lost; they are counted as well.
 class StreamAppender final : public log4cxx::AppenderSkeleton
 {
 public:
@@ -27,26 +28,26 @@
     LOG4CXX_CAST_ENTRY_CHAIN(AppenderSkeleton)
     END_LOG4CXX_CAST_MAP()
 
-    /// For log4cxx, which wants to make appenders by their names; writes to standard output.
+    /// Writes to standard output. Required by log4cxx, which can create appenders by their class names.
     StreamAppender();
-    /// Precondition: @p descriptor stays open.
+    /// Writes to @p descriptor. Precondition: @p descriptor stays open.
     StreamAppender(int descriptor, const log4cxx::LayoutPtr &layout);
 
     void append(const log4cxx::spi::LoggingEventPtr &event, log4cxx::helpers::Pool &pool) override;
     void close() override { }
     [[nodiscard]] bool requiresLayout() const override { return true; }
-    /// Lines that were given up since the start.
-    [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
+    /// The count of lines that were dropped since the start.
+    [[nodiscard]] std::uint64_t dropped() const { return droppedLines_; }
 
 private:
-    void put(std::string line);
-    void writeKept();
+    void writeOrBuffer(std::string line);
+    void flushBuffer();
     [[nodiscard]] bool write(const std::string &line);
 
     int descriptor_;
-    std::deque<std::string> kept_;
-    std::uint64_t dropped_ = 0;
-    std::uint64_t untold_ = 0;
+    std::deque<std::string> bufferedLines_;
+    std::uint64_t droppedLines_ = 0;
+    std::uint64_t unreportedDrops_ = 0;
 };
 
 }
--- a/src/telemetry/structuredline.cpp
+++ b/src/telemetry/structuredline.cpp
@@ -38,9 +38,9 @@
 template<typename Number>
 void appendNumber(std::string &text, Number number)
 {
-    char digits[32];
-    const auto result = std::to_chars(digits, digits + sizeof digits, number);
-    text.append(digits, result.ptr);
+    char buffer[32];
+    const auto result = std::to_chars(buffer, buffer + sizeof buffer, number);
+    text.append(buffer, result.ptr);
 }
 
 }
@@ -53,7 +53,7 @@
 
 StructuredLine &StructuredLine::add(std::string_view key, std::string_view value)
 {
-    beginPair(key);
+    appendKey(key);
     if (!needsQuotes(value)) {
         text_ += value;
         return *this;
@@ -68,14 +68,14 @@
 
 StructuredLine &StructuredLine::add(std::string_view key, std::int64_t value)
 {
-    beginPair(key);
+    appendKey(key);
     appendNumber(text_, value);
     return *this;
 }
 
 StructuredLine &StructuredLine::add(std::string_view key, std::uint64_t value)
 {
-    beginPair(key);
+    appendKey(key);
     appendNumber(text_, value);
     return *this;
 }
@@ -83,14 +83,14 @@
 StructuredLine &StructuredLine::add(std::string_view key, double value)
 {
     constexpr int Precision = 4;
-    char digits[64];
-    const auto result = std::to_chars(digits, digits + sizeof digits, value, std::chars_format::general, Precision);
-    beginPair(key);
-    text_.append(digits, result.ptr);
+    char buffer[64];
+    const auto result = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::general, Precision);
+    appendKey(key);
+    text_.append(buffer, result.ptr);
     return *this;
 }
 
-void StructuredLine::beginPair(std::string_view key)
+void StructuredLine::appendKey(std::string_view key)
 {
     text_ += ' ';
     text_ += key;
--- a/src/telemetry/structuredline.h
+++ b/src/telemetry/structuredline.h
@@ -7,15 +7,17 @@
 namespace Egretpath
 {
 
-/// One log line of key=value pairs, led by the name of the event.
+/// One log line of key=value pairs; the first pair is the name of the event.
 ///
-/// Values with spaces, quotes, equals signs or control characters are quoted and escaped, so that text of a caller
-/// can't add pairs or lines. Preconditions: keys are plain words. Thread safety: none. Errors: none.
+/// Empty values and values with spaces, quotes, equals signs, backslashes or control characters are quoted and escaped,
+/// so that text from a caller can't add pairs or lines. Preconditions: keys are plain words. Thread safety: none.
+/// Errors: none.
 class StructuredLine
 {
 public:
     explicit StructuredLine(std::string_view event);
 
+    /// Appends a pair.
     StructuredLine &add(std::string_view key, std::string_view value);
     StructuredLine &add(std::string_view key, std::int64_t value);
     StructuredLine &add(std::string_view key, std::uint64_t value);
@@ -24,7 +26,7 @@
     [[nodiscard]] const std::string &text() const { return text_; }
 
 private:
-    void beginPair(std::string_view key);
+    void appendKey(std::string_view key);
 
     std::string text_;
 };
--- a/tests/telemetry/streamappendertest.cpp
+++ b/tests/telemetry/streamappendertest.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// A pipe whose reader reads only when the test says so.
+/// A pipe that is read only when the test calls readAll().
 class Pipe
 {
 public:
@@ -33,7 +33,7 @@
     Pipe(const Pipe &) = delete;
     Pipe &operator=(const Pipe &) = delete;
 
-    [[nodiscard]] int writing() const { return ends_[1]; }
+    [[nodiscard]] int writeEnd() const { return ends_[1]; }
     [[nodiscard]] std::string readAll() const
     {
         std::string text;
@@ -49,12 +49,12 @@
     std::array<int, 2> ends_{};
 };
 
-/// A logger that writes into the pipe through the appender.
+/// A logger that writes to the pipe through the tested appender.
 class PipeLog
 {
 public:
     explicit PipeLog(const Pipe &pipe)
-        : appender(std::make_shared<StreamAppender>(pipe.writing(), std::make_shared<log4cxx::PatternLayout>("%m%n")))
+        : appender(std::make_shared<StreamAppender>(pipe.writeEnd(), std::make_shared<log4cxx::PatternLayout>("%m%n")))
         , logger(log4cxx::Logger::getLogger("stream-appender-test"))
     {
         logger->setAdditivity(false);
@@ -71,9 +71,10 @@
 
 }
 
-// All requests of a VM hang and then time out, though its node and its upstream are well. The collector of its logs has
-// stopped reading; the pipe to it filled up, and the node's only thread waited in the write of a log line.
-TEST_CASE("a reader that stops reading does not hold the writer")
+// Guards against requests that hang and time out because of the log. If the collector of a VM's logs stops reading, the
+// pipe to the collector fills up. A node that waits in the write of a log line blocks its only thread, and with it all
+// requests of the VM, although the node and its upstream are healthy.
+TEST_CASE("a reader that stops reading does not block logging")
 {
     const Pipe pipe;
     const PipeLog log(pipe);
@@ -83,11 +84,11 @@
     for (int line = 0; line < Lines; ++line) {
         LOG4CXX_INFO(log.logger, std::to_string(line) + " " + text);
     }
-    // A write that waits would wait for ever; the bound only ends the test.
+    // A write that blocks never returns, so the size of the bound does not matter.
     CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(20));
     CHECK(log.appender->dropped() > 0);
 
-    // The reader is back: what was kept comes in its order, then how much was lost.
+    // The reader reads again: the buffered lines come first in their order, then the count of lost lines.
     const std::string first = pipe.readAll();
     CHECK(first.starts_with("0 x"));
     LOG4CXX_INFO(log.logger, "after");
--- a/tests/telemetry/telemetrytest.cpp
+++ b/tests/telemetry/telemetrytest.cpp
@@ -12,14 +12,14 @@
     CHECK(line.text() == R"(event=route target="/a b=\"c\"\x0aevent=forged")");
 }
 
-TEST_CASE("plain values stay bare")
+TEST_CASE("plain values are not quoted")
 {
     const StructuredLine line =
         StructuredLine("route").add("chosen", "statements-1").add("wait", 1.5).add("tries", std::uint64_t{2});
     CHECK(line.text() == "event=route chosen=statements-1 wait=1.5 tries=2");
 }
 
-TEST_CASE("decisions over the limit of a second are dropped and counted")
+TEST_CASE("decisions over the limit per second are dropped and counted")
 {
     EventLogSettings settings;
     settings.file = "/dev/null";
@@ -33,20 +33,20 @@
     CHECK(log.admitsDecision(start + std::chrono::seconds(1), DecisionWeight::Failure));
 }
 
-TEST_CASE("a part of the lines is kept for requests that fail")
+TEST_CASE("a part of the lines is reserved for requests that fail")
 {
-    // Under load nearly all lines tell of requests that went well, and the engineer on call finds none of the one that
-    // a user complains of.
+    // Guards against missing lines about failures. Under load nearly all lines are about requests that succeed. If they
+    // used up the limit, an engineer on call would not find the failed request that a user reported.
     EventLogSettings settings;
     settings.file = "/dev/null";
     settings.decisionsPerSecond = 10;
     EventLog log(settings);
     const TimePoint start = TimePoint() + std::chrono::hours(1);
-    int routine = 0;
+    int admittedRoutine = 0;
     for (int count = 0; count < 20; ++count) {
-        routine += log.admitsDecision(start, DecisionWeight::Routine) ? 1 : 0;
+        admittedRoutine += log.admitsDecision(start, DecisionWeight::Routine) ? 1 : 0;
     }
-    CHECK(routine == 7);
+    CHECK(admittedRoutine == 7);
     CHECK(log.admitsDecision(start, DecisionWeight::Failure));
 }
 
@@ -61,7 +61,7 @@
     CHECK(histogram.quantile(1.0) > Milliseconds(400));
 }
 
-TEST_CASE("metrics are printed for scrapers")
+TEST_CASE("metrics are printed in the format of Prometheus")
 {
     Metrics metrics;
     metrics.count("egretpath_calls_total", "verdict=\"answered\"", 3);
