--- a/src/daemons/egretpath-sidecar.cpp
+++ b/src/daemons/egretpath-sidecar.cpp
@@ -4,6 +4,7 @@
 
 int main(int argc, char **argv)
 {
-    CLI::App app{"Egretpath beside an upstream on the platform: takes requests, chooses upstreams, guards its own."};
+    CLI::App app{"Egretpath beside an upstream on the platform: accepts requests, chooses upstreams, and admits "
+                 "requests to its own."};
     return Egretpath::runSidecarProgram(app, argc, argv, Egretpath::DecisionSettings());
 }
--- a/src/daemons/sidecarprogram.cpp
+++ b/src/daemons/sidecarprogram.cpp
@@ -27,7 +27,7 @@
 
 constexpr int ExitBadUsage = 2;
 constexpr int ExitCannotStart = 1;
-/// Where the platform says that a process finds its settings.
+/// The environment variable in which the platform passes the path of the settings file to a process.
 constexpr const char *SettingsVariable = "EGRETPATH_CONFIG";
 
 SidecarPlatform makePlatform(boost::asio::io_context &context, const SidecarSettings &settings,
@@ -44,7 +44,7 @@
     return platform;
 }
 
-int refuseSettings(const SettingsProblems &problems)
+int reportProblems(const SettingsProblems &problems)
 {
     std::cerr << toString(problems) << '\n';
     return ExitBadUsage;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Calls @p action each time that one of @p signals comes.
+/// Calls @p action each time one of @p signals arrives.
 void onSignal(boost::asio::signal_set &signals, const std::function<void()> &action)
 {
     signals.async_wait([&signals, action](const boost::system::error_code &error, int) {
@@ -71,15 +71,15 @@
     });
 }
 
-/// Guards against an error that one request raised and nothing caught: it would end the process, and with it all
-/// requests of its VM. The request's own coroutine has ended; the loop goes on with the others.
+/// Guards against an exception that one request threw and nothing caught: it would end the process and with it all
+/// requests of the VM. The coroutine of that request has finished; the loop continues with the other requests.
 void runLoop(boost::asio::io_context &context, Sidecar &sidecar)
 {
-    bool runs = true;
-    while (runs) {
+    bool isRunning = true;
+    while (isRunning) {
         try {
             context.run();
-            runs = false;
+            isRunning = false;
         } catch (const std::exception &error) {
             sidecar.recordEscapedError(error.what());
         }
@@ -89,13 +89,13 @@
 int runSidecar(const std::string &file, const DecisionSettings &decisions)
 {
     AsioEventPort loop;
-    // Taken before all else: a process that is told to stop, or to read its settings again, while it starts would end
-    // by the signal.
+    // The handlers are installed first. Otherwise a signal to stop or to reload the settings would kill a process that
+    // is still starting.
     boost::asio::signal_set stopSignals(loop.context(), SIGTERM, SIGINT);
     boost::asio::signal_set reloadSignal(loop.context(), SIGHUP);
     const auto settings = readSidecarSettingsFile(file);
     if (!settings) {
-        return refuseSettings(settings.error());
+        return reportProblems(settings.error());
     }
     Sidecar sidecar(loop.context(), settings.value(), makePlatform(loop.context(), settings.value(), decisions.catalog),
                     decisions);
@@ -112,7 +112,7 @@
 int checkSettings(const std::string &file)
 {
     const auto settings = readSidecarSettingsFile(file);
-    return settings ? EXIT_SUCCESS : refuseSettings(settings.error());
+    return settings ? EXIT_SUCCESS : reportProblems(settings.error());
 }
 
 std::string settingsFromEnvironment()
@@ -127,7 +127,7 @@
 {
     std::string file = settingsFromEnvironment();
     bool checkOnly = false;
-    app.add_option("--settings", file, "the settings file, TOML; by default the one that EGRETPATH_CONFIG names");
+    app.add_option("--settings", file, "the settings file (TOML); default: the file that EGRETPATH_CONFIG names");
     app.add_flag("--check", checkOnly, "check the settings and exit");
     try {
         app.parse(argumentCount, arguments);
--- a/src/daemons/sidecarprogram.h
+++ b/src/daemons/sidecarprogram.h
@@ -7,9 +7,9 @@
 namespace Egretpath
 {
 
-/// The program of a node: reads the command line with @p app, to which it adds its own options, and runs until it is
-/// told to stop. Returns the exit code. @p decisions are read after the command line.
-/// Precondition: called once, from main(). Thread safety: none.
+/// Runs the program of a node: adds its options to @p app, parses the command line with it, and runs until a signal
+/// requests the stop. Returns the exit code. @p decisions are read only after the command line was parsed, so that
+/// options of @p app may set them. Precondition: called once, from main(). Thread safety: none.
 [[nodiscard]] int runSidecarProgram(CLI::App &app, int argumentCount, char **arguments,
                                     const DecisionSettings &decisions);
 
