--- a/src/dialect/upstreamdialect.h
+++ b/src/dialect/upstreamdialect.h
@@ -38,8 +38,8 @@
     bool notRun = false;
     /// The answer comes from another upstream, which now has the address.
     bool wrongUpstream = false;
-    /// The answer has the mark that the upstream adds to each answer it made itself. Always true for failures, which
-    /// need no mark.
+    /// Whether the answer is proved to come unchanged from the upstream, which marks each answer that it makes itself.
+    /// Always true for failures, which need no proof.
     bool isComplete = true;
     /// The id of the answered request; empty if the answer names none.
     RequestId request;
