--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -38,7 +38,7 @@
                   decisions.queue.failureFactor = 0.0;
               }},
     Mechanism{"dependents", "callers with little patience go first, since a late answer is useless to them",
-              [](DecisionSettings &decisions) { decisions.ingress.ingress.dependentPatienceFactor = 0; }},
+              [](DecisionSettings &decisions) { decisions.ingress.ingress.dependentTimeoutFactor = 0; }},
     Mechanism{"delay", "the network delay to a node counts",
               [](DecisionSettings &decisions) { decisions.ingress.view.countsDelay = false; }},
     Mechanism{"ask-before-bodies", "large bodies are sent only after a dry run was accepted",
--- a/bench/node/rpcbench.cpp
+++ b/bench/node/rpcbench.cpp
@@ -125,7 +125,7 @@
     EventLog log(settings);
     for (auto iteration : state) {
         benchmark::DoNotOptimize(iteration);
-        if (log.admitsDecision(std::chrono::steady_clock::now(), DecisionWeight::Failure)) {
+        if (log.admitsDecision(std::chrono::steady_clock::now(), DecisionKind::Failure)) {
             StructuredLine line("route");
             line.add("request", "statements-1-17144512032731968161-306").add("try", std::uint64_t{1});
             line.add("service", "statements").add("chosen", "statements-2").add("why", "own-zone");
--- a/src/dialect/callerdialect.h
+++ b/src/dialect/callerdialect.h
@@ -16,7 +16,7 @@
     /// The caller's id of this attempt; empty if the caller gave none.
     RequestId request;
     /// How long the caller waits for the answer, from the arrival of the request; nullopt if the caller gave no time.
-    std::optional<Milliseconds> patience;
+    std::optional<Milliseconds> timeout;
 };
 
 /// Reads and writes the header fields and statuses that callers and the load balancer exchange. Each interface to
--- a/src/dialect/upstreamdialect.h
+++ b/src/dialect/upstreamdialect.h
@@ -14,7 +14,7 @@
 struct UpstreamMetadata
 {
     /// The time left until the deadline, at which the upstream stops its work.
-    Milliseconds left{0};
+    Milliseconds timeLeft{0};
     /// The only upstream that may run the request. Another upstream that now has the address refuses the request.
     UpstreamName target;
     /// The service of the VM that sent the request.
@@ -35,12 +35,12 @@
 struct UpstreamAnswerMetadata
 {
     /// The upstream states that it did not run the request.
-    bool notRun = false;
+    bool isNotRun = false;
     /// The answer comes from another upstream, which now has the address.
-    bool wrongUpstream = false;
+    bool isWrongUpstream = false;
     /// Whether the answer is proved to come unchanged from the upstream, which marks each answer that it makes itself.
     /// Always true for failures, which need no proof.
-    bool isComplete = true;
+    bool isAuthentic = true;
     /// The id of the answered request; empty if the answer names none.
     RequestId request;
     std::optional<UpstreamLoadSample> load;
@@ -56,7 +56,7 @@
     virtual ~UpstreamDialect() = default;
 
     /// Sets the fields for @p metadata in @p headers and replaces fields of the same names that a caller sent.
-    virtual void decorate(HttpHeaders &headers, const UpstreamMetadata &metadata) const = 0;
+    virtual void writeMetadata(HttpHeaders &headers, const UpstreamMetadata &metadata) const = 0;
     /// Reads what the upstream reports with an answer.
     [[nodiscard]] virtual UpstreamAnswerMetadata read(const HttpResponseHead &head) const = 0;
 };
--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -213,7 +213,7 @@
 {
     metrics_.count("egretpath_upstream_crashes_total");
     for (const HeldRequest &item : held) {
-        if (!log_.admitsDecision(currentTime(), DecisionWeight::Failure)) {
+        if (!log_.admitsDecision(currentTime(), DecisionKind::Failure)) {
             continue;
         }
         StructuredLine line("held");
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -339,14 +339,14 @@
                                                     const UpstreamAnswerMetadata &metadata)
 {
     role_.applyAnswerMetadata(metadata);
-    if (metadata.wrongUpstream) {
+    if (metadata.isWrongUpstream) {
         return notRun(Reason::WrongIncarnation, "another upstream has the address");
     }
-    if (metadata.notRun) {
+    if (metadata.isNotRun) {
         role_.recordAnswer(true);
         return notRun(Reason::Shed, "the upstream refused it with status " + std::to_string(head.status));
     }
-    if (!metadata.isComplete) {
+    if (!metadata.isAuthentic) {
         role_.recordAnswer(true);
         return mayHaveRun(Reason::BadAnswer, "the answer lacks what proves that it is the upstream's");
     }
@@ -369,11 +369,11 @@
     HttpRequestHead head(head_.method, head_.target);
     head.headers = head_.headers;
     UpstreamMetadata requestMetadata;
-    requestMetadata.left =
+    requestMetadata.timeLeft =
         std::max(std::chrono::duration_cast<Milliseconds>(deadline_ - currentTime()), Milliseconds{1});
     requestMetadata.target = head_.targetUpstream;
     requestMetadata.callerService = head_.callerService;
-    role_.dialect_.decorate(head.headers, requestMetadata);
+    role_.dialect_.writeMetadata(head.headers, requestMetadata);
     return head;
 }
 
@@ -408,7 +408,7 @@
 {
     const TimePoint end = currentTime();
     const auto *failure = std::get_if<Failure>(&ended.result);
-    if (!role_.log_.admitsDecision(end, failure != nullptr ? DecisionWeight::Failure : DecisionWeight::Routine)) {
+    if (!role_.log_.admitsDecision(end, failure != nullptr ? DecisionKind::Failure : DecisionKind::Routine)) {
         return;
     }
     const auto *complete = std::get_if<CompleteAnswer>(&ended.result);
--- a/src/ingress/callerpatience.cpp
+++ b/src/ingress/callertimeouts.cpp
@@ -1,4 +1,4 @@
-#include "ingress/callerpatience.h"
+#include "ingress/callertimeouts.h"
 
 #include <algorithm>
 
@@ -13,26 +13,26 @@
 /// The maximum number of different values stored for a route. The rarest value is removed first. Without this limit
 /// callers could fill the memory with different values.
 constexpr std::size_t MaxValues = 24;
-/// A patience counts as typical only with at least this count. Until then every request counts as a first attempt.
+/// A timeout counts as typical only with at least this count. Until then every request counts as a first attempt.
 constexpr double MinCount = 2.0;
 
 }
 
-Milliseconds CallerPatience::record(const RouteName &route, Milliseconds patience)
+Milliseconds CallerTimeouts::record(const RouteName &route, Milliseconds timeout)
 {
     Counts &counts = routes_[route];
     for (auto &[value, count] : counts) {
         count *= CountDecay;
     }
-    counts[patience] += 1.0;
+    counts[timeout] += 1.0;
     if (counts.size() > MaxValues) {
         counts.erase(std::min_element(counts.begin(), counts.end(),
                                       [](const auto &left, const auto &right) { return left.second < right.second; }));
     }
-    return std::max(typical(route) - patience, Milliseconds{0});
+    return std::max(typical(route) - timeout, Milliseconds{0});
 }
 
-Milliseconds CallerPatience::typical(const RouteName &route) const
+Milliseconds CallerTimeouts::typical(const RouteName &route) const
 {
     const auto found = routes_.find(route);
     if (found == routes_.end()) {
@@ -42,7 +42,7 @@
     return entry == found->second.end() || entry->second < MinCount ? Milliseconds{0} : entry->first;
 }
 
-CallerPatience::Counts::const_iterator CallerPatience::mostFrequent(const Counts &counts)
+CallerTimeouts::Counts::const_iterator CallerTimeouts::mostFrequent(const Counts &counts)
 {
     return std::max_element(counts.begin(), counts.end(),
                             [](const auto &left, const auto &right) { return left.second < right.second; });
--- a/src/ingress/callerpatience.h
+++ b/src/ingress/callertimeouts.h
@@ -9,24 +9,24 @@
 namespace Egretpath
 {
 
-/// Estimates how long a caller has been trying, from its patience: the time for which the caller still waits.
+/// Estimates how long a caller has been trying, from its timeout: the time for which the caller still waits.
 ///
-/// Callers of one route start with the same patience. A caller that retries after a refusal sends what is left of its
-/// patience. The target latency counts from the first attempt, so a retry must not be treated like a first attempt,
+/// Callers of one route start with the same timeout. A caller that retries after a refusal sends what is left of its
+/// timeout. The target latency counts from the first attempt, so a retry must not be treated like a first attempt,
 /// which can still be answered in time. Thread safety: none; one owner. Errors: none.
-class CallerPatience
+class CallerTimeouts
 {
 public:
-    /// Records the @p patience of a request of @p route. Returns how long its caller has been trying. Returns zero if
+    /// Records the @p timeout of a request of @p route. Returns how long its caller has been trying. Returns zero if
     /// the request seems to be a first attempt or if there are too few earlier requests.
-    [[nodiscard]] Milliseconds record(const RouteName &route, Milliseconds patience);
-    /// Returns the patience with which most callers of @p route start; zero if there are too few requests.
+    [[nodiscard]] Milliseconds record(const RouteName &route, Milliseconds timeout);
+    /// Returns the timeout with which most callers of @p route start; zero if there are too few requests.
     [[nodiscard]] Milliseconds typical(const RouteName &route) const;
     /// Removes all records. Call it when the routes change.
     void clear() { routes_.clear(); }
 
 private:
-    /// For each patience, the decaying count of the requests that had it.
+    /// For each timeout, the decaying count of the requests that had it.
     using Counts = std::map<Milliseconds, double>;
 
     [[nodiscard]] static Counts::const_iterator mostFrequent(const Counts &counts);
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -10,7 +10,7 @@
 #include "core/random.h"
 #include "dialect/callerdialect.h"
 #include "egress/egressrole.h"
-#include "ingress/callerpatience.h"
+#include "ingress/callertimeouts.h"
 #include "ingress/ingresssettings.h"
 #include "ingress/requestlog.h"
 #include "instances/instancedirectory.h"
@@ -82,7 +82,7 @@
     Placement placement;
     AnswerSizes sizes;
     RetryBudget budget;
-    CallerPatience patience;
+    CallerTimeouts callerTimeouts;
     StopAdmission stop;
     std::function<void(const Endpoint &, const CallOutcome &)> outcomeListener;
     std::function<void()> noRoutesListener;
--- a/src/ingress/ingressrole.cpp
+++ b/src/ingress/ingressrole.cpp
@@ -44,7 +44,7 @@
 void IngressRole::catalogChanged()
 {
     context_->split.clear();
-    context_->patience.clear();
+    context_->callerTimeouts.clear();
     updateRetryBudget();
 }
 
--- a/src/ingress/ingresssettings.h
+++ b/src/ingress/ingresssettings.h
@@ -18,9 +18,9 @@
     /// A larger body is sent only after the node accepted the request in a dry run. Bodies of declined requests occupy
     /// links of low bandwidth, and short calls then wait for them.
     std::size_t maxBodyWithoutDryRun = std::size_t{12} * 1024;
-    /// Callers whose patience is at most this many times the target latency count as dependent on the answer: they need
+    /// Callers whose timeout is at most this many times the target latency count as dependent on the answer: they need
     /// it for their own work and fail without it.
-    int dependentPatienceFactor = 3;
+    int dependentTimeoutFactor = 3;
     /// Retry delays are increased at random by up to this share, so that callers refused together don't retry together.
     double retryAfterSpread = 1.0;
     /// The share of the common retry limit that nodes use. Nodes that join and leave make the share of each node
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -219,7 +219,7 @@
 
 asio::awaitable<void> ProxiedRequest::giveUp(Failure failure)
 {
-    // A request that crashes upstreams must not be retried within its caller's patience, so its delay is not shortened.
+    // A request that crashes upstreams must not be retried within its caller's timeout, so its delay is not shortened.
     const bool crashesUpstreams = failure.reason == Reason::CrashesUpstreams;
     const Milliseconds retryAfter =
         crashesUpstreams ? failure.retryAfter : retryDelay(*context_, parameters_, failure.retryAfter);
--- a/src/ingress/requestlog.cpp
+++ b/src/ingress/requestlog.cpp
@@ -17,7 +17,7 @@
 
 void RequestLog::recordPlacement(const PlacedTry &item)
 {
-    if (!log_.admitsDecision(currentTime(), DecisionWeight::Routine)) {
+    if (!log_.admitsDecision(currentTime(), DecisionKind::Routine)) {
         return;
     }
     StructuredLine line("place");
@@ -41,7 +41,7 @@
     metrics_.count("egretpath_requests_total", labels);
     metrics_.record("egretpath_request_seconds", "", item.duration);
     const bool failed = item.reason != Reason::None;
-    if (!log_.admitsDecision(currentTime(), failed ? DecisionWeight::Failure : DecisionWeight::Routine)) {
+    if (!log_.admitsDecision(currentTime(), failed ? DecisionKind::Failure : DecisionKind::Routine)) {
         return;
     }
     StructuredLine line("end");
--- a/src/ingress/requestparameters.cpp
+++ b/src/ingress/requestparameters.cpp
@@ -18,18 +18,18 @@
 constexpr Milliseconds RestartTime{1000};
 /// Callers honour a retry delay of up to a third of the time that they have left.
 constexpr int MaxRetryDelayDivisor = 3;
-/// The patience assumed for a caller that gives none, if no route is known whose timeout applies.
-constexpr Milliseconds DefaultPatience{1000};
+/// The timeout assumed for a caller that gives none, if no route is known whose timeout applies.
+constexpr Milliseconds DefaultTimeout{1000};
 
 TimePoint findTargetTime(IngressContext &context, const RequestParameters &parameters)
 {
     const Route &route = *parameters.route;
-    if (!parameters.caller.patience) {
+    if (!parameters.caller.timeout) {
         return parameters.arrival + route.targetLatency;
     }
-    const Milliseconds elapsed = context.patience.record(route.name, *parameters.caller.patience);
-    const Milliseconds typical = context.patience.typical(route.name);
-    if (typical.count() > 0 && typical <= route.targetLatency * context.settings.dependentPatienceFactor) {
+    const Milliseconds elapsed = context.callerTimeouts.record(route.name, *parameters.caller.timeout);
+    const Milliseconds typical = context.callerTimeouts.typical(route.name);
+    if (typical.count() > 0 && typical <= route.targetLatency * context.settings.dependentTimeoutFactor) {
         // The caller fails soon after the target. A late answer is then worth no more than none, so only the deadline
         // counts.
         return parameters.deadline;
@@ -59,7 +59,7 @@
         return notRun(Reason::NoRoute, "no route takes this host and path");
     }
     const Milliseconds timeout = parameters.route->timeout;
-    parameters.deadline = parameters.arrival + std::min(parameters.caller.patience.value_or(timeout), timeout);
+    parameters.deadline = parameters.arrival + std::min(parameters.caller.timeout.value_or(timeout), timeout);
     parameters.targetTime = findTargetTime(context, parameters);
     return stopRefusal(context, parameters);
 }
@@ -78,9 +78,9 @@
 {
     const double base = static_cast<double>(preferred.count() > 0 ? preferred.count() : DefaultRetryDelay.count());
     std::uniform_real_distribution<double> spread(1.0, 1.0 + context.settings.retryAfterSpread);
-    const Milliseconds timeout = parameters.route != nullptr ? parameters.route->timeout : DefaultPatience;
-    const Milliseconds patience = parameters.caller.patience.value_or(timeout);
-    const auto left = std::chrono::duration_cast<Milliseconds>(parameters.arrival + patience - currentTime());
+    const Milliseconds timeout = parameters.route != nullptr ? parameters.route->timeout : DefaultTimeout;
+    const Milliseconds callerTimeout = parameters.caller.timeout.value_or(timeout);
+    const auto left = std::chrono::duration_cast<Milliseconds>(parameters.arrival + callerTimeout - currentTime());
     const auto maxDelay = std::max(left / MaxRetryDelayDivisor, Milliseconds{1});
     return std::min(Milliseconds(static_cast<Milliseconds::rep>(base * spread(context.random))), maxDelay);
 }
--- a/src/settings/sidecarsettings.cpp
+++ b/src/settings/sidecarsettings.cpp
@@ -152,7 +152,7 @@
         }
     }
 
-    void readZones(std::vector<ZonePlace> &zones)
+    void readZones(std::vector<ZoneRegion> &zones)
     {
         const toml::table *table = root_["zones"].as_table();
         if (table == nullptr) {
--- a/src/settings/sidecarsettings.h
+++ b/src/settings/sidecarsettings.h
@@ -15,7 +15,7 @@
 {
 
 /// An availability zone and its region.
-struct ZonePlace
+struct ZoneRegion
 {
     ZoneName zone;
     RegionName region;
@@ -71,7 +71,7 @@
     LinkPrices linkPrices;
 
     // [zones]: each key is an availability zone, its value the zone's region.
-    std::vector<ZonePlace> zones;
+    std::vector<ZoneRegion> zones;
 
     // [stop]
     /// The longest time from SIGTERM until the process exits.
--- a/src/telemetry/eventlog.cpp
+++ b/src/telemetry/eventlog.cpp
@@ -82,7 +82,7 @@
 
 EventLog::~EventLog() = default;
 
-bool EventLog::admitsDecision(TimePoint now, DecisionWeight weight)
+bool EventLog::admitsDecision(TimePoint now, DecisionKind kind)
 {
     if (!implementation_->logger()->isInfoEnabled()) {
         return false;
@@ -94,7 +94,7 @@
             warning(StructuredLine("decisions-dropped").add("count", lost));
         }
     }
-    const bool isFailure = weight == DecisionWeight::Failure;
+    const bool isFailure = kind == DecisionKind::Failure;
     const auto limit = isFailure
         ? maxDecisionsPerSecond_
         : static_cast<std::uint64_t>(RoutineShare * static_cast<double>(maxDecisionsPerSecond_));
--- a/src/telemetry/eventlog.h
+++ b/src/telemetry/eventlog.h
@@ -26,7 +26,7 @@
 };
 
 /// The kind of a decision. Failures may use the whole limit of decision lines, routine decisions only a part.
-enum class DecisionWeight : std::uint8_t {
+enum class DecisionKind : std::uint8_t {
     /// A step of a request, or the end of a request that succeeded.
     Routine,
     /// A request that failed or was refused. These are the lines that operators look for.
@@ -50,7 +50,7 @@
     /// Returns whether a decision may be written at @p now under the level and the limit. Counts the decision as
     /// written or, if it is over the limit, as dropped. Call this before building the line, so that a dropped line
     /// costs nothing.
-    [[nodiscard]] bool admitsDecision(TimePoint now, DecisionWeight weight);
+    [[nodiscard]] bool admitsDecision(TimePoint now, DecisionKind kind);
     /// Writes a decision. Precondition: admitsDecision() returned true for it.
     void decision(const StructuredLine &line);
     void info(const StructuredLine &line);
--- a/tests/adapter/platformdialecttest.cpp
+++ b/tests/adapter/platformdialecttest.cpp
@@ -19,18 +19,18 @@
 
 }
 
-TEST_CASE("a caller's id and patience are read, and a patience that is not a number is ignored")
+TEST_CASE("a caller's id and timeout are read, and a timeout that is not a number is ignored")
 {
     const PlatformCallerDialect dialect;
     const auto metadata = dialect.read({{"X-Egretpath-Attempt-Id", "9c41"}, {"X-Egretpath-Deadline-Ms", "2500"}});
     REQUIRE(metadata);
     CHECK(metadata.value().request == RequestId("9c41"));
-    CHECK(metadata.value().patience == Milliseconds(2500));
+    CHECK(metadata.value().timeout == Milliseconds(2500));
     for (const char *text : {"soon", "-5", "nan", ""}) {
         INFO(text);
         const auto unreadable = dialect.read({{"X-Egretpath-Deadline-Ms", text}});
         REQUIRE(unreadable);
-        CHECK_FALSE(unreadable.value().patience);
+        CHECK_FALSE(unreadable.value().timeout);
     }
 }
 
@@ -63,7 +63,7 @@
                         {"X-Egretpath-Target-Instance", "i-0"},
                         {"X-Egretpath-Deadline-Ms", "9999999"},
                         {"X-Egretpath-Attempt-Id", "9c41"}};
-    dialect.decorate(headers, {Milliseconds(120), UpstreamName("i-1"), ServiceName("statements")});
+    dialect.writeMetadata(headers, {Milliseconds(120), UpstreamName("i-1"), ServiceName("statements")});
     CHECK(headers.size() == 4);
     CHECK(headers.find("X-Egretpath-Caller-Service") == std::string_view("statements"));
     CHECK(headers.find("X-Egretpath-Target-Instance") == std::string_view("i-1"));
@@ -78,8 +78,8 @@
                                                                 {{"X-Egretpath-Attempt-Id", "9c41"},
                                                                  {"X-Egretpath-Server-Signature", "3e1b"},
                                                                  {"X-Egretpath-Instance-Load", "3,1,6,400"}}));
-    CHECK(good.isComplete);
-    CHECK_FALSE(good.notRun);
+    CHECK(good.isAuthentic);
+    CHECK_FALSE(good.isNotRun);
     CHECK(good.request == RequestId("9c41"));
     REQUIRE(good.load);
     CHECK(good.load->running == 3);
@@ -88,10 +88,10 @@
     CHECK(good.load->slowdownPercent == 400);
     CHECK(dialect.read(answerWith(200, {{"X-Egretpath-Instance-Load", "3,1,6"}})).load->slowdownPercent == 0);
     CHECK_FALSE(dialect.read(answerWith(200, {{"X-Egretpath-Instance-Load", "3,x"}})).load);
-    CHECK(dialect.read(answerWith(503, {{"X-Egretpath-Not-Executed", "1"}})).notRun);
-    CHECK(dialect.read(answerWith(421, {})).wrongUpstream);
+    CHECK(dialect.read(answerWith(503, {{"X-Egretpath-Not-Executed", "1"}})).isNotRun);
+    CHECK(dialect.read(answerWith(421, {})).isWrongUpstream);
     CHECK(dialect.read(answerWith(421, {{"X-Egretpath-Instance-Id", "i-2"}})).upstream == UpstreamName("i-2"));
-    CHECK(dialect.read(answerWith(500, {})).isComplete);
+    CHECK(dialect.read(answerWith(500, {})).isAuthentic);
 }
 
 // Guards against a success that the upstream did not send in this form: a proxy on the way compressed the answer, or
@@ -100,7 +100,7 @@
 TEST_CASE("a success without the upstream's digest is not complete")
 {
     const PlatformUpstreamDialect dialect;
-    CHECK_FALSE(dialect.read(answerWith(200, {})).isComplete);
+    CHECK_FALSE(dialect.read(answerWith(200, {})).isAuthentic);
     CHECK_FALSE(dialect.read(answerWith(200, {{"X-Egretpath-Server-Signature", "3e1b"}, {"Content-Encoding", "gzip"}}))
-                    .isComplete);
+                    .isAuthentic);
 }
--- a/tests/telemetry/telemetrytest.cpp
+++ b/tests/telemetry/telemetrytest.cpp
@@ -26,11 +26,11 @@
     settings.decisionsPerSecond = 2;
     EventLog log(settings);
     const TimePoint start = TimePoint() + std::chrono::hours(1);
-    CHECK(log.admitsDecision(start, DecisionWeight::Failure));
-    CHECK(log.admitsDecision(start, DecisionWeight::Failure));
-    CHECK_FALSE(log.admitsDecision(start, DecisionWeight::Failure));
+    CHECK(log.admitsDecision(start, DecisionKind::Failure));
+    CHECK(log.admitsDecision(start, DecisionKind::Failure));
+    CHECK_FALSE(log.admitsDecision(start, DecisionKind::Failure));
     CHECK(log.droppedDecisions() == 1);
-    CHECK(log.admitsDecision(start + std::chrono::seconds(1), DecisionWeight::Failure));
+    CHECK(log.admitsDecision(start + std::chrono::seconds(1), DecisionKind::Failure));
 }
 
 TEST_CASE("a part of the lines is reserved for requests that fail")
@@ -44,10 +44,10 @@
     const TimePoint start = TimePoint() + std::chrono::hours(1);
     int admittedRoutine = 0;
     for (int count = 0; count < 20; ++count) {
-        admittedRoutine += log.admitsDecision(start, DecisionWeight::Routine) ? 1 : 0;
+        admittedRoutine += log.admitsDecision(start, DecisionKind::Routine) ? 1 : 0;
     }
     CHECK(admittedRoutine == 7);
-    CHECK(log.admitsDecision(start, DecisionWeight::Failure));
+    CHECK(log.admitsDecision(start, DecisionKind::Failure));
 }
 
 TEST_CASE("a quantile is the upper edge of its bucket")
