--- a/src/http/httpclientcall.cpp
+++ b/src/http/httpclientcall.cpp
@@ -14,7 +14,7 @@
 
 HttpClientCall::~HttpClientCall()
 {
-    connection_->endCall();
+    connection_->finishCall();
 }
 
 Result<void> HttpClientCall::sendHead(const HttpRequestHead &head)
@@ -49,20 +49,20 @@
 
 boost::asio::awaitable<Result<std::string>> HttpClientCall::readCompleteBody(Bytes limit)
 {
-    std::string whole;
+    std::string completeBody;
     for (;;) {
         auto piece = co_await connection_->readBody();
         if (!piece) {
             co_return piece.error();
         }
         if (piece.value().empty()) {
-            co_return whole;
+            co_return completeBody;
         }
-        if (whole.size() + piece.value().size() > limit.value()) {
+        if (completeBody.size() + piece.value().size() > limit.value()) {
             cancel();
             co_return mayHaveRun(Reason::TooLarge, "the response is over the limit");
         }
-        whole += piece.value();
+        completeBody += piece.value();
     }
 }
 
--- a/src/http/httpclientcall.h
+++ b/src/http/httpclientcall.h
@@ -14,17 +14,20 @@
 
 class HttpClientConnection;
 
-/// One request on one connection of a HttpConnectionPool, and the response to it.
+/// One request on one connection of an HttpConnectionPool, and the response to it.
 ///
-/// The order is sendHead(), writeBody() as often as needed, finishRequest(), readHead(), readBody() until it is empty.
-/// readHead() and readBody() may run beside the writing operations, and also after one of them failed: a server may
-/// answer and close before it took the whole request. Every operation ends by the deadline given to open().
+/// The order of calls is sendHead(), writeBody() as often as needed, finishRequest(), readHead(), and readBody() until
+/// it returns an empty piece. readHead() and readBody() may run concurrently with the writing operations, and also
+/// after a writing operation failed: a server may answer and close before it has read the whole request. Every
+/// operation finishes by the deadline given to HttpConnectionPool::open().
 ///
-/// Errors of every operation say NotRun as long as no byte was written and MayHaveRun afterwards; the reason is
-/// ConnectionLost, DeadlinePassed, Cancelled (after cancel()), or BadAnswer for a response that is malformed or ended
-/// early. After the whole response was read and the request was finished, the destructor gives the connection back for
-/// the next call; in every other case it closes the connection. Precondition of the destructor: no operation is
-/// awaited. Thread safety: none; use it on the pool's executor.
+/// The errors of every operation have the verdict NotRun as long as no byte was written, and MayHaveRun afterwards.
+/// The reason is ConnectionLost, DeadlinePassed, Cancelled (after cancel()), or BadAnswer for a response that is
+/// malformed or ended early.
+///
+/// The destructor returns the connection to the pool if the request was finished and the complete response was read.
+/// In every other case it closes the connection. Precondition of the destructor: no operation is awaited.
+/// Thread safety: none; use it on the pool's executor.
 class HttpClientCall
 {
 public:
@@ -33,33 +36,35 @@
     HttpClientCall(const HttpClientCall &) = delete;
     HttpClientCall &operator=(const HttpClientCall &) = delete;
 
-    /// Prepares the head; it leaves with the first body bytes, or with finishRequest(). Errors: BadRequest (NotRun)
-    /// for a head that no message may carry.
+    /// Prepares the head. It is sent with the first body bytes, or by finishRequest(). Errors: BadRequest (NotRun)
+    /// for a head with characters that HTTP forbids.
     [[nodiscard]] Result<void> sendHead(const HttpRequestHead &head);
-    /// Sends a piece of the body; returns once the socket took it. Precondition: sendHead() succeeded.
-    /// Errors: also TooLarge beyond the length that the head announced.
+    /// Sends a piece of the body; returns once the socket has accepted it. Precondition: sendHead() succeeded.
+    /// Errors: also TooLarge if the body gets longer than the head announced.
     [[nodiscard]] boost::asio::awaitable<Result<void>> writeBody(std::string chunk);
-    /// Ends the request. Errors: also BadRequest when fewer bytes were written than announced; the connection is then
-    /// closed.
+    /// Finishes the request. Errors: also BadRequest if fewer bytes were written than the head announced; the
+    /// connection is then closed.
     [[nodiscard]] boost::asio::awaitable<Result<void>> finishRequest();
-    /// All of the above in one write, for a body at hand. It sets the head's contentLength.
+    /// Sends head and body and finishes the request, in one write unless the body is large. Sets the head's
+    /// contentLength to the size of @p body.
     [[nodiscard]] boost::asio::awaitable<Result<void>> sendRequest(HttpRequestHead head, std::string body);
 
-    /// The head of the final response; informational (1xx) ones are skipped. May be called again after a whole response
-    /// was read, for the next one on the connection.
+    /// Reads the head of the final response; informational (1xx) responses are skipped. May be called again after a
+    /// complete response was read, for the next response on the connection.
     [[nodiscard]] boost::asio::awaitable<Result<HttpResponseHead>> readHead();
-    /// The next piece of the body; empty at its whole end. Body bytes that came with the head are at hand at once.
-    /// The body of a response without a length is whole when the connection ends in good order; after a reset it is
-    /// BadAnswer.
+    /// Reads the next piece of the body; returns an empty piece once the body is complete. Body bytes that arrived with
+    /// the head are returned at once. The body of a response without a length is complete when the server closes the
+    /// connection in order; after a reset the error is BadAnswer.
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
-    /// The whole body. Errors: also TooLarge over @p limit.
+    /// Reads the complete body. Errors: also TooLarge if it is longer than @p limit.
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readCompleteBody(Bytes limit);
 
-    /// Whether a byte of the request left this process: from then on it may run.
+    /// Whether a byte of the request was sent. From then on the server may run the request.
     [[nodiscard]] bool firstByteSent() const;
     /// Whether the connection was used by an earlier call.
     [[nodiscard]] bool reused() const;
-    /// Closes the connection: a server that watches its callers stops its work. Awaited operations end with Cancelled.
+    /// Resets the connection, so that a server that watches for disconnected callers stops its work. Awaited operations
+    /// fail with Cancelled.
     void cancel();
 
 private:
--- a/src/http/httpclientconnection.cpp
+++ b/src/http/httpclientconnection.cpp
@@ -23,7 +23,7 @@
 constexpr std::uint16_t SwitchingProtocolsStatus = 101;
 constexpr std::uint16_t FirstFinalStatus = 200;
 
-/// Methods whose requests say nothing about a body when they have none.
+/// Whether a request of this method carries no framing field (Content-Length, Transfer-Encoding) when it has no body.
 bool methodImpliesNoBody(const std::string &method)
 {
     return method == "GET" || method == "HEAD" || method == "DELETE" || method == "OPTIONS" || method == "TRACE";
@@ -38,7 +38,7 @@
     , limits_(limits)
     , pool_(std::move(pool))
     , buffer_(std::max<std::size_t>(limits.readBufferBytes, limits.headerBytes))
-    , timer_(executor, [this] { timeExpired(); })
+    , timer_(executor, [this] { onTimeout(); })
 {
 }
 
@@ -55,7 +55,7 @@
     timer_.expireAt(deadline);
     error_code error;
     co_await socket_.async_connect(address, asio::redirect_error(asio::use_awaitable, error));
-    if (expired_) {
+    if (hasTimedOut_) {
         co_return notRun(Reason::DeadlinePassed, "no connection to " + endpoint_.value() + " before the deadline");
     }
     if (error) {
@@ -65,37 +65,37 @@
     co_return boost::outcome_v2::success();
 }
 
-void HttpClientConnection::beginCall(TimePoint deadline)
+void HttpClientConnection::startCall(TimePoint deadline)
 {
-    idleExpired_ = nullptr;
+    onIdleExpired_ = nullptr;
     parser_.reset();
     bytesSent_ = 0;
-    requestDone_ = false;
-    reused_ = true;
+    isRequestFinished_ = false;
+    isReused_ = true;
     deadline_ = deadline;
     timer_.expireAt(deadline);
 }
 
 bool HttpClientConnection::isUsable()
 {
-    return socket_.is_open() && peekState(socket_) == SocketState::Quiet;
+    return socket_.is_open() && peekState(socket_) == SocketState::Idle;
 }
 
-void HttpClientConnection::beginIdle(Duration idleTime, std::function<void()> expired)
+void HttpClientConnection::startIdle(Duration idleTime, std::function<void()> onExpired)
 {
-    idleExpired_ = std::move(expired);
+    onIdleExpired_ = std::move(onExpired);
     buffer_.shrink();
     timer_.expireAfter(idleTime);
 }
 
-void HttpClientConnection::endCall()
+void HttpClientConnection::finishCall()
 {
     timer_.disarm();
-    const bool whole = requestDone_ && parser_ && parser_->done() && buffer_.empty();
-    const bool reusable = whole && keepAlive_ && parser_->keepAlive() && socket_.is_open();
+    const bool isComplete = isRequestFinished_ && parser_ && parser_->isDone() && buffer_.empty();
+    const bool isReusable = isComplete && keepAlive_ && parser_->keepAlive() && socket_.is_open();
     const auto pool = pool_.lock();
-    if (reusable && pool) {
-        pool->giveBack(shared_from_this());
+    if (isReusable && pool) {
+        pool->release(shared_from_this());
     } else {
         close();
     }
@@ -109,49 +109,50 @@
 
 Result<void> HttpClientConnection::sendHead(const HttpRequestHead &head)
 {
-    const bool bodiless = head.contentLength == std::uint64_t{0} && methodImpliesNoBody(head.method);
-    auto text = writeRequestHead(head, MessageFraming{head.contentLength, head.keepAlive, bodiless}, endpoint_.value());
+    const bool hasNoBody = head.contentLength == std::uint64_t{0} && methodImpliesNoBody(head.method);
+    auto text =
+        writeRequestHead(head, MessageFraming{head.contentLength, head.keepAlive, hasNoBody}, endpoint_.value());
     if (!text) {
         return notRun(Reason::BadRequest, "a request head that no message may carry");
     }
     pendingHead_ = std::move(*text);
-    remaining_ = head.contentLength;
+    remainingBytes_ = head.contentLength;
     keepAlive_ = head.keepAlive;
-    headRequest_ = head.method == "HEAD";
+    isHeadRequest_ = head.method == "HEAD";
     return boost::outcome_v2::success();
 }
 
 asio::awaitable<Result<void>> HttpClientConnection::writeBody(std::string chunk)
 {
-    if (remaining_ && chunk.size() > *remaining_) {
+    if (remainingBytes_ && chunk.size() > *remainingBytes_) {
         co_return failure(Reason::TooLarge, "more body than announced");
     }
     if (chunk.empty()) {
         co_return boost::outcome_v2::success();
     }
-    if (remaining_) {
-        *remaining_ -= chunk.size();
+    if (remainingBytes_) {
+        *remainingBytes_ -= chunk.size();
     }
-    BodyWrites writes = joinBodyPiece(std::exchange(pendingHead_, {}), std::move(chunk), !remaining_);
-    auto written = co_await writeOut(std::move(writes.first));
+    BodyWrites writes = joinHeadAndBody(std::exchange(pendingHead_, {}), std::move(chunk), !remainingBytes_);
+    auto written = co_await writeBytes(std::move(writes.first));
     if (written && !writes.second.empty()) {
-        written = co_await writeOut(std::move(writes.second));
+        written = co_await writeBytes(std::move(writes.second));
     }
     co_return written;
 }
 
 asio::awaitable<Result<void>> HttpClientConnection::finishRequest()
 {
-    if (remaining_.value_or(0) > 0) {
+    if (remainingBytes_.value_or(0) > 0) {
         close();
         co_return failure(Reason::BadRequest, "less body than announced");
     }
     std::string data = std::exchange(pendingHead_, {});
-    if (!remaining_) {
+    if (!remainingBytes_) {
         data += writeLastChunk();
     }
-    auto written = co_await writeOut(std::move(data));
-    requestDone_ = written.has_value();
+    auto written = co_await writeBytes(std::move(data));
+    isRequestFinished_ = written.has_value();
     co_return written;
 }
 
@@ -167,14 +168,14 @@
     co_return co_await finishRequest();
 }
 
-asio::awaitable<Result<void>> HttpClientConnection::writeOut(std::string data)
+asio::awaitable<Result<void>> HttpClientConnection::writeBytes(std::string data)
 {
-    // A process that was paused may get here before its overdue timer fires. Its caller may have been told that the
-    // request did not run, so the first byte must not leave any more.
+    // After the process was paused, this code may run before the overdue timer fires. The verdict NotRun may have been
+    // reported to the caller, so the first byte must not be sent after the deadline.
     if (!firstByteSent() && std::chrono::steady_clock::now() >= deadline_) {
-        timeExpired();
+        onTimeout();
     }
-    if (cancelled_ || expired_ || !socket_.is_open()) {
+    if (isCancelled_ || hasTimedOut_ || !socket_.is_open()) {
         co_return socketFailure(asio::error::operation_aborted);
     }
     if (const error_code error = co_await writeAll(socket_, data, bytesSent_)) {
@@ -183,22 +184,22 @@
     co_return boost::outcome_v2::success();
 }
 
-/// Reads once and parses. An end of the connection inside of a message is never taken for the end of the message.
+/// Reads once and parses. If the connection ends inside a message, the message is never treated as complete.
 asio::awaitable<Result<void>> HttpClientConnection::readMore()
 {
-    if (cancelled_ || expired_ || !socket_.is_open()) {
+    if (isCancelled_ || hasTimedOut_ || !socket_.is_open()) {
         co_return socketFailure(asio::error::operation_aborted);
     }
-    const bool begun = parser_->headDone();
+    const bool hasHead = parser_->isHeadDone();
     if (const error_code error = co_await readSome(socket_, buffer_)) {
-        // Only an orderly end completes a body without a length; after a reset the rest of it is missing.
-        const bool atEnd = error == asio::error::eof && begun && parser_->endsWithConnection();
-        if (atEnd && parser_->finishAtEnd()) {
+        // A body without a length is complete only after an orderly close. After a reset its rest may be missing.
+        const bool isBodyEnd = error == asio::error::eof && hasHead && parser_->needsEof();
+        if (isBodyEnd && parser_->finishAtEof()) {
             co_return boost::outcome_v2::success();
         }
-        const bool early = begun && !cancelled_ && !expired_;
-        co_return early ? failure(Reason::BadAnswer, "the response ended early: " + error.message())
-                        : socketFailure(error);
+        const bool endedEarly = hasHead && !isCancelled_ && !hasTimedOut_;
+        co_return endedEarly ? failure(Reason::BadAnswer, "the response ended early: " + error.message())
+                             : socketFailure(error);
     }
     if (parser_->feed(buffer_) != MessageProblem::None) {
         close();
@@ -210,19 +211,19 @@
 asio::awaitable<Result<HttpResponseHead>> HttpClientConnection::readHead()
 {
     for (;;) {
-        parser_.emplace(limits_.headerBytes, headRequest_);
+        parser_.emplace(limits_.headerBytes, isHeadRequest_);
         MessageProblem problem = parser_->feed(buffer_);
-        while (problem == MessageProblem::None && !parser_->headDone()) {
+        while (problem == MessageProblem::None && !parser_->isHeadDone()) {
             if (auto more = co_await readMore(); !more) {
                 co_return more.error();
             }
         }
-        const bool informational = parser_->status() < FirstFinalStatus;
+        const bool isInformational = parser_->status() < FirstFinalStatus;
         if (problem != MessageProblem::None || parser_->status() == SwitchingProtocolsStatus) {
             close();
             co_return failure(Reason::BadAnswer, "malformed response");
         }
-        if (!informational) {
+        if (!isInformational) {
             break;
         }
     }
@@ -233,7 +234,7 @@
 {
     for (;;) {
         std::string body = parser_->takeBody();
-        if (!body.empty() || parser_->done()) {
+        if (!body.empty() || parser_->isDone()) {
             co_return body;
         }
         if (auto more = co_await readMore(); !more) {
@@ -244,7 +245,7 @@
 
 void HttpClientConnection::cancel()
 {
-    cancelled_ = true;
+    isCancelled_ = true;
     resetSocket(socket_);
 }
 
@@ -255,22 +256,22 @@
 
 Failure HttpClientConnection::socketFailure(const error_code &error) const
 {
-    if (cancelled_) {
+    if (isCancelled_) {
         return failure(Reason::Cancelled, "cancelled");
     }
-    if (expired_) {
+    if (hasTimedOut_) {
         return failure(Reason::DeadlinePassed, "no answer from " + endpoint_.value() + " before the deadline");
     }
     return failure(Reason::ConnectionLost, endpoint_.value() + ": " + error.message());
 }
 
-void HttpClientConnection::timeExpired()
+void HttpClientConnection::onTimeout()
 {
-    if (const auto expired = std::exchange(idleExpired_, nullptr)) {
-        expired();
+    if (const auto onExpired = std::exchange(onIdleExpired_, nullptr)) {
+        onExpired();
         return;
     }
-    expired_ = true;
+    hasTimedOut_ = true;
     closeSocket(socket_);
 }
 
--- a/src/http/httpclientconnection.h
+++ b/src/http/httpclientconnection.h
@@ -24,7 +24,8 @@
 
 class HttpConnectionPoolState;
 
-/// One connection to a server. It serves HttpClientCall, whose contract the operations carry. Thread safety: none.
+/// One connection to a server. HttpClientCall forwards its operations to this class and documents their contract.
+/// Thread safety: none.
 class HttpClientConnection : public std::enable_shared_from_this<HttpClientConnection>
 {
 public:
@@ -34,17 +35,17 @@
     HttpClientConnection(const HttpClientConnection &) = delete;
     HttpClientConnection &operator=(const HttpClientConnection &) = delete;
 
-    /// Connects by @p deadline, which holds for the first call as well.
+    /// Connects by @p deadline, which is also the deadline of the first call.
     [[nodiscard]] boost::asio::awaitable<Result<void>> connect(boost::asio::ip::tcp::endpoint address,
                                                                TimePoint deadline);
-    /// Makes an idle connection ready for the next call.
-    void beginCall(TimePoint deadline);
-    /// Whether an idle connection is still open and nothing was sent on it unasked.
+    /// Prepares an idle connection for the next call.
+    void startCall(TimePoint deadline);
+    /// Whether an idle connection is still open and has received no unexpected bytes.
     [[nodiscard]] bool isUsable();
-    /// Begins the idle time; @p expired is called at its end.
-    void beginIdle(Duration idleTime, std::function<void()> expired);
-    /// Called by the call's destructor: back to the pool, or closed.
-    void endCall();
+    /// Marks the connection as idle; @p onExpired is called after @p idleTime unless startCall() comes first.
+    void startIdle(Duration idleTime, std::function<void()> onExpired);
+    /// Called by the destructor of HttpClientCall: returns the connection to the pool, or closes it.
+    void finishCall();
     void close();
 
     [[nodiscard]] Result<void> sendHead(const HttpRequestHead &head);
@@ -54,17 +55,17 @@
     [[nodiscard]] boost::asio::awaitable<Result<HttpResponseHead>> readHead();
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
     [[nodiscard]] bool firstByteSent() const { return bytesSent_ > 0; }
-    [[nodiscard]] bool reused() const { return reused_; }
+    [[nodiscard]] bool reused() const { return isReused_; }
     void cancel();
 
     [[nodiscard]] const Endpoint &endpoint() const { return endpoint_; }
 
 private:
-    [[nodiscard]] boost::asio::awaitable<Result<void>> writeOut(std::string data);
+    [[nodiscard]] boost::asio::awaitable<Result<void>> writeBytes(std::string data);
     [[nodiscard]] boost::asio::awaitable<Result<void>> readMore();
     [[nodiscard]] Failure failure(Reason reason, std::string detail) const;
     [[nodiscard]] Failure socketFailure(const boost::system::error_code &error) const;
-    void timeExpired();
+    void onTimeout();
 
     boost::asio::ip::tcp::socket socket_;
     Endpoint endpoint_;
@@ -72,20 +73,20 @@
     std::weak_ptr<HttpConnectionPoolState> pool_;
     ReadBuffer buffer_;
     SocketTimer timer_;
-    std::function<void()> idleExpired_;
+    std::function<void()> onIdleExpired_;
     TimePoint deadline_ = TimePoint::max();
 
     std::optional<ResponseParser> parser_;
     std::string pendingHead_;
-    /// Body bytes that the head announced and that were not written; nothing for a chunked body.
-    std::optional<std::uint64_t> remaining_;
+    /// Body bytes that the head announced and that were not written yet; std::nullopt for a chunked body.
+    std::optional<std::uint64_t> remainingBytes_;
     std::size_t bytesSent_ = 0;
-    bool headRequest_ = false;
+    bool isHeadRequest_ = false;
     bool keepAlive_ = true;
-    bool requestDone_ = false;
-    bool reused_ = false;
-    bool cancelled_ = false;
-    bool expired_ = false;
+    bool isRequestFinished_ = false;
+    bool isReused_ = false;
+    bool isCancelled_ = false;
+    bool hasTimedOut_ = false;
 };
 
 }
--- a/src/http/httpconnectionpool.h
+++ b/src/http/httpconnectionpool.h
@@ -19,39 +19,39 @@
 {
     /// Open connections to one endpoint, idle ones included.
     std::size_t connectionsPerEndpoint = 64;
-    /// Open connections in all. An idle connection to another endpoint is closed to make room.
+    /// Open connections to all endpoints. At the limit, an idle connection to any endpoint is closed for a new one.
     std::size_t connections = 220;
-    /// An idle connection is closed after this time. Keep it under the server's idle time.
+    /// An idle connection is closed after this time. It should be shorter than the server's idle time.
     Duration idleTime = std::chrono::seconds(30);
     std::uint32_t headerBytes = 32 * 1024;
     std::size_t readBufferBytes = std::size_t{64} * 1024;
 };
 
-/// Whether a call may go over a connection that served earlier ones.
+/// Whether a call may use a connection that served earlier calls.
 enum class HttpConnectionChoice : std::uint8_t {
-    /// An idle connection that is still open, else a new one.
+    /// An idle connection that is still open if there is one, otherwise a new connection.
     Pooled,
-    /// Always a new one: its first write can't meet a server that just closed an idle connection.
+    /// Always a new connection. Its first write can't fail because the server just closed an idle connection.
     Fresh,
 };
 
-/// Counts since the start.
+/// Counters since the pool was created.
 struct HttpPoolCounts
 {
     std::uint64_t opened = 0;
     std::uint64_t reused = 0;
-    /// Idle connections that the server had closed, found out before a byte was sent on them.
-    std::uint64_t foundClosed = 0;
+    /// Idle connections that the server had closed; this was detected before a byte was sent on them.
+    std::uint64_t closedByServer = 0;
     /// Calls refused because of the connection limits.
     std::uint64_t refused = 0;
 };
 
 class HttpConnectionPoolState;
 
-/// HTTP/1.1 connections to many servers, kept open between calls.
+/// A pool of HTTP/1.1 connections to many servers, kept open between calls.
 ///
-/// Thread safety: none; use it on the thread of its executor. Calls may outlive the pool; their connections are
-/// closed instead of given back.
+/// Thread safety: none; use it on the thread of its executor. Calls may outlive the pool; their connections are then
+/// closed instead of returned to the pool.
 class HttpConnectionPool
 {
 public:
@@ -60,12 +60,12 @@
     HttpConnectionPool(const HttpConnectionPool &) = delete;
     HttpConnectionPool &operator=(const HttpConnectionPool &) = delete;
 
-    /// A connection to @p endpoint for one call, whose operations all end by @p deadline.
+    /// Opens a connection to @p endpoint for one call. All operations of the call finish by @p deadline.
     /// Errors, all NotRun: ConnectFailed, DeadlinePassed, BudgetSpent (a connection limit is reached).
     [[nodiscard]] boost::asio::awaitable<Result<std::unique_ptr<HttpClientCall>>>
     open(Endpoint endpoint, TimePoint deadline, HttpConnectionChoice choice = HttpConnectionChoice::Pooled);
 
-    /// Changes both limits of connections. Connections above a lower one stay until their calls end.
+    /// Sets both connection limits to @p cap. Connections beyond a lowered limit stay open until their calls finish.
     void setConnectionCap(std::size_t cap);
 
     /// Closes all idle connections.
--- a/src/http/httpconnectionpoolstate.cpp
+++ b/src/http/httpconnectionpoolstate.cpp
@@ -28,11 +28,11 @@
     if (choice == HttpConnectionChoice::Pooled) {
         if (auto idle = takeIdle(endpoint)) {
             ++counts_.reused;
-            idle->beginCall(deadline);
+            idle->startCall(deadline);
             co_return std::make_unique<HttpClientCall>(std::move(idle));
         }
     }
-    if (!makeRoom(endpoint)) {
+    if (!ensureCapacity(endpoint)) {
         ++counts_.refused;
         co_return notRun(Reason::BudgetSpent, "too many connections to " + endpoint.value());
     }
@@ -46,7 +46,7 @@
     co_return std::make_unique<HttpClientCall>(std::move(connection));
 }
 
-/// The most recently used connection, so that those beyond the usual need grow old and are closed.
+/// Takes the most recently used connection, so that surplus connections reach their idle time and are closed.
 std::shared_ptr<HttpClientConnection> HttpConnectionPoolState::takeIdle(const Endpoint &endpoint)
 {
     for (;;) {
@@ -60,12 +60,12 @@
         if (connection->isUsable()) {
             return connection;
         }
-        ++counts_.foundClosed;
+        ++counts_.closedByServer;
         connection->close();
     }
 }
 
-bool HttpConnectionPoolState::makeRoom(const Endpoint &endpoint)
+bool HttpConnectionPoolState::ensureCapacity(const Endpoint &endpoint)
 {
     if (connectionCount(endpoint) >= limits_.connectionsPerEndpoint) {
         closeOldestIdle(&endpoint);
@@ -88,18 +88,18 @@
     }
 }
 
-void HttpConnectionPoolState::giveBack(std::shared_ptr<HttpClientConnection> connection)
+void HttpConnectionPoolState::release(std::shared_ptr<HttpClientConnection> connection)
 {
     HttpClientConnection *const key = connection.get();
-    connection->beginIdle(limits_.idleTime, [weak = weak_from_this(), key] {
+    connection->startIdle(limits_.idleTime, [weak = weak_from_this(), key] {
         if (const auto self = weak.lock()) {
-            self->forgetIdle(key);
+            self->closeExpiredIdle(key);
         }
     });
     idle_.push_back(std::move(connection));
 }
 
-void HttpConnectionPoolState::forgetIdle(const HttpClientConnection *connection)
+void HttpConnectionPoolState::closeExpiredIdle(const HttpClientConnection *connection)
 {
     const auto found = std::find_if(idle_.begin(), idle_.end(),
                                     [connection](const auto &candidate) { return candidate.get() == connection; });
@@ -127,8 +127,8 @@
 
 void HttpConnectionPoolState::closeIdle()
 {
-    const auto closing = std::exchange(idle_, {});
-    for (const auto &connection : closing) {
+    const auto idleConnections = std::exchange(idle_, {});
+    for (const auto &connection : idleConnections) {
         connection->close();
     }
 }
--- a/src/http/httpconnectionpoolstate.h
+++ b/src/http/httpconnectionpoolstate.h
@@ -15,7 +15,7 @@
 
 class HttpClientConnection;
 
-/// The connections of a HttpConnectionPool, idle and in use. Thread safety: none.
+/// The connections of an HttpConnectionPool, idle and in use. Thread safety: none.
 class HttpConnectionPoolState : public std::enable_shared_from_this<HttpConnectionPoolState>
 {
 public:
@@ -23,8 +23,8 @@
 
     [[nodiscard]] boost::asio::awaitable<Result<std::unique_ptr<HttpClientCall>>>
     open(Endpoint endpoint, TimePoint deadline, HttpConnectionChoice choice);
-    /// Keeps a connection whose call is over for the next one.
-    void giveBack(std::shared_ptr<HttpClientConnection> connection);
+    /// Adds a connection whose call has finished to the idle connections.
+    void release(std::shared_ptr<HttpClientConnection> connection);
     /// Called by the destructor of each connection.
     void removeConnection(const Endpoint &endpoint);
     void closeIdle();
@@ -38,15 +38,15 @@
 
 private:
     [[nodiscard]] std::shared_ptr<HttpClientConnection> takeIdle(const Endpoint &endpoint);
-    [[nodiscard]] bool makeRoom(const Endpoint &endpoint);
+    [[nodiscard]] bool ensureCapacity(const Endpoint &endpoint);
     void closeOldestIdle(const Endpoint *endpoint);
-    void forgetIdle(const HttpClientConnection *connection);
+    void closeExpiredIdle(const HttpClientConnection *connection);
 
     boost::asio::any_io_executor executor_;
     HttpPoolLimits limits_;
     std::size_t connections_ = 0;
     std::unordered_map<Endpoint, std::size_t> connectionsByEndpoint_;
-    /// The connection that was idle for the longest time first.
+    /// Ordered by the start of the idle time, the longest idle connection first.
     std::deque<std::shared_ptr<HttpClientConnection>> idle_;
 };
 
--- a/src/http/httpexchange.cpp
+++ b/src/http/httpexchange.cpp
@@ -60,9 +60,9 @@
     exchange_->abort();
 }
 
-bool HttpExchange::responseBegun() const
+bool HttpExchange::hasResponseStarted() const
 {
-    return exchange_->responseBegun();
+    return exchange_->hasResponseStarted();
 }
 
 bool HttpExchange::callerDisconnected() const
--- a/src/http/httpexchange.h
+++ b/src/http/httpexchange.h
@@ -17,13 +17,13 @@
 
 class HttpServerExchange;
 
-/// One request at the server and the response to it.
+/// One request that the server received, and the response to it.
 ///
-/// Made by HttpServer, valid until the handler returns. At most one reading (readBody()) and one writing operation run
-/// at a time; a reading and a writing one may overlap. Every awaited operation resumes on the server's executor and is
-/// bounded by the server's idle time: a caller that neither sends nor takes a byte for that long counts as gone.
-/// A handler that returns without a complete response gets one made: 500 when nothing was sent, else a dropped
-/// connection. Thread safety: none; use it on the server's executor only.
+/// Created by HttpServer and valid until the handler returns. At most one read (readBody()) and one write operation may
+/// run at a time; a read and a write may overlap. Every awaited operation resumes on the server's executor and is
+/// bounded by the server's idle time: a caller that neither sends nor accepts a byte for that long counts as
+/// disconnected. If the handler returns without a complete response, the server answers 500 if nothing was sent, and
+/// resets the connection otherwise. Thread safety: none; use it on the server's executor only.
 class HttpExchange
 {
 public:
@@ -36,44 +36,47 @@
     /// The caller's address.
     [[nodiscard]] const Endpoint &remoteEndpoint() const;
 
-    /// The next piece of the request's body, at most HttpLimits::readBufferBytes long; empty at its whole end.
-    /// Sends "100 Continue" first when the caller waits for it.
-    /// Errors: TooLarge over the body limit, BadRequest for bad chunking, Cancelled when the caller went away or the
-    /// body ended early, DeadlinePassed when it stalled. Their verdict is NotRun as far as this server knows; a
-    /// handler that already passed bytes on has to raise it.
+    /// Reads the next piece of the request's body, at most HttpLimits::readBufferBytes long; returns an empty piece
+    /// once the body is complete. Sends "100 Continue" first if the caller waits for it. Errors: TooLarge over the body
+    /// limit, BadRequest for bad chunking, Cancelled if the caller disconnected or the body ended early, DeadlinePassed
+    /// if the body stalled. The verdict is NotRun, since this class doesn't know what the handler did with earlier
+    /// pieces; a handler that already forwarded some has to change it to MayHaveRun.
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
 
-    /// Sends a whole response. Precondition: no response was begun.
-    /// Errors: Cancelled when the caller went away, BadRequest (nothing was sent) for a head that no message may
-    /// carry. The verdict of write errors is MayHaveRun.
+    /// Sends a complete response. Precondition: no response was started.
+    /// Errors: Cancelled if the caller disconnected, BadRequest (nothing was sent) for a head with characters that HTTP
+    /// forbids or a status that is not final. The verdict of write errors is MayHaveRun.
     boost::asio::awaitable<Result<void>> respond(HttpResponseHead head, std::string body);
 
-    /// Begins a streamed response of @p length bytes, or a chunked one. The head leaves with the first body bytes, or
-    /// with endResponse(). Precondition: no response was begun. Errors: as respond().
+    /// Starts a streamed response of @p length bytes, or a chunked response without @p length. The head is sent with
+    /// the first body bytes, or by endResponse(). Precondition: no response was started. Errors: as respond().
     boost::asio::awaitable<Result<void>> beginResponse(HttpResponseHead head, std::optional<std::uint64_t> length);
-    /// Sends a piece of the body; returns once the socket took it, so that a slow caller holds the handler back.
-    /// Precondition: between beginResponse() and endResponse(). Errors: as respond(); TooLarge beyond the length.
+    /// Sends a piece of the body; returns once the socket has accepted it, so that a slow caller slows the handler
+    /// down. Precondition: called between beginResponse() and endResponse(). Errors: as respond(); TooLarge if the body
+    /// gets longer than announced.
     boost::asio::awaitable<Result<void>> writeBody(std::string chunk);
-    /// Ends the streamed response. Errors: as respond(); BadAnswer, with the connection dropped, when fewer bytes were
-    /// written than announced.
+    /// Finishes the streamed response. Errors: as respond(); BadAnswer if fewer bytes were written than announced, in
+    /// which case the connection is reset.
     boost::asio::awaitable<Result<void>> endResponse();
 
-    /// Resumes when all requests that came earlier on the connection have their responses, or the caller is gone.
+    /// Resumes when all earlier requests of the connection have their responses, or the caller disconnected.
     ///
-    /// Requests sent ahead run beside each other. When an earlier response ends the connection, its caller takes those
-    /// behind it for not read and sends them again; a request that may run once must not start before its turn.
+    /// Pipelined requests run concurrently. If an earlier response closes the connection, the caller assumes that the
+    /// requests after it were not read and sends them again. A request that may run only once must therefore not start
+    /// before its turn.
     [[nodiscard]] boost::asio::awaitable<void> waitForTurn();
 
-    /// Drops the connection with a reset, so that an incomplete response can never look whole.
+    /// Resets the connection, so that the caller can't mistake an incomplete response for a complete one.
     void abort();
 
-    /// Whether bytes of a response may have left; abort() is then the only way to take it back.
-    [[nodiscard]] bool responseBegun() const;
-    /// Whether the caller closed its side or the connection broke. A caller that closes only its sending side counts
-    /// as gone. Not noticed while unread body bytes wait in the socket.
+    /// Whether bytes of the response may have been sent. The response can then only be withdrawn with abort().
+    [[nodiscard]] bool hasResponseStarted() const;
+    /// Whether the caller closed its side or the connection failed. A caller that closes only its sending side counts
+    /// as disconnected. A disconnect is not detected while the socket holds unread body bytes.
     [[nodiscard]] bool callerDisconnected() const;
-    /// Calls @p callback once when the caller goes away before the response is complete; at once (posted) when it
-    /// already has. Replaces an earlier callback; it is dropped when the handler returns.
+    /// Calls @p callback once if the caller disconnects before the response is complete. If the caller has already
+    /// disconnected, the call is posted at once. Replaces an earlier callback. The callback is removed when the handler
+    /// returns.
     void onCallerDisconnected(std::function<void()> callback);
 
 private:
--- a/src/http/httpheaders.cpp
+++ b/src/http/httpheaders.cpp
@@ -43,7 +43,7 @@
 
 }
 
-bool sameHeaderName(std::string_view left, std::string_view right)
+bool isSameHeaderName(std::string_view left, std::string_view right)
 {
     return std::equal(left.begin(), left.end(), right.begin(), right.end(),
                       [](char one, char other) { return toLower(one) == toLower(other); });
@@ -67,14 +67,14 @@
 
 void HttpHeaders::remove(std::string_view name)
 {
-    std::erase_if(fields_, [name](const HttpHeader &field) { return sameHeaderName(field.name, name); });
+    std::erase_if(fields_, [name](const HttpHeader &field) { return isSameHeaderName(field.name, name); });
 }
 
 void HttpHeaders::removeHopByHop()
 {
     std::vector<std::string> names(HopByHopNames.begin(), HopByHopNames.end());
     for (const HttpHeader &field : fields_) {
-        if (sameHeaderName(field.name, "Connection")) {
+        if (isSameHeaderName(field.name, "Connection")) {
             appendListItems(field.value, names);
         }
     }
@@ -86,7 +86,7 @@
 std::optional<std::string_view> HttpHeaders::find(std::string_view name) const
 {
     const auto found = std::find_if(fields_.begin(), fields_.end(),
-                                    [name](const HttpHeader &field) { return sameHeaderName(field.name, name); });
+                                    [name](const HttpHeader &field) { return isSameHeaderName(field.name, name); });
     if (found == fields_.end()) {
         return std::nullopt;
     }
--- a/src/http/httpheaders.h
+++ b/src/http/httpheaders.h
@@ -10,7 +10,7 @@
 namespace Egretpath
 {
 
-/// One header field as it stood on the wire, without the white space around its value.
+/// One header field as on the wire, without the white space around its value.
 struct HttpHeader
 {
     std::string name;
@@ -19,7 +19,7 @@
     friend bool operator==(const HttpHeader &, const HttpHeader &) = default;
 };
 
-/// The header fields of one message in their order; names compare without regard to case.
+/// The header fields of one message in their original order; names are compared case-insensitively.
 ///
 /// Thread safety: none; const access may be shared.
 class HttpHeaders
@@ -28,17 +28,18 @@
     HttpHeaders() = default;
     HttpHeaders(std::initializer_list<HttpHeader> fields);
 
-    /// Appends a field. Precondition: none; the sender refuses names and values that no message may carry.
+    /// Appends a field. Precondition: none; names and values that HTTP forbids are rejected when the message is
+    /// written.
     void add(std::string name, std::string value);
-    /// Replaces all fields called @p name by one.
+    /// Replaces all fields named @p name by one field.
     void set(std::string_view name, std::string value);
-    /// Removes all fields called @p name.
+    /// Removes all fields named @p name.
     void remove(std::string_view name);
-    /// Removes the fields that concern one connection only, also those that Connection names (RFC 9110, 7.6.1).
-    /// Call it on what is passed on from one connection to another.
+    /// Removes the hop-by-hop fields, which apply to one connection only, and the fields that Connection lists
+    /// (RFC 9110, 7.6.1). Call it on headers that are forwarded from one connection to another.
     void removeHopByHop();
 
-    /// The value of the first field called @p name; it stays valid until the list changes.
+    /// The value of the first field named @p name. The view stays valid until the fields change.
     [[nodiscard]] std::optional<std::string_view> find(std::string_view name) const;
     [[nodiscard]] bool contains(std::string_view name) const { return find(name).has_value(); }
 
@@ -51,7 +52,7 @@
     std::vector<HttpHeader> fields_;
 };
 
-/// Whether two names of header fields are the same. Thread safety: safe.
-[[nodiscard]] bool sameHeaderName(std::string_view left, std::string_view right);
+/// Whether two header field names are equal, compared case-insensitively. Thread safety: safe.
+[[nodiscard]] bool isSameHeaderName(std::string_view left, std::string_view right);
 
 }
--- a/src/http/httpserver.h
+++ b/src/http/httpserver.h
@@ -17,35 +17,37 @@
 namespace Egretpath
 {
 
-/// What the listener accepts. Requests beyond it are answered with a 4xx or 503 and never reach the handler.
+/// Limits of an HttpServer. Requests over a limit are answered with a 4xx or 503. They don't reach the handler, except
+/// that a chunked body may exceed bodyBytes after the handler has started.
 struct HttpLimits
 {
-    /// Start line and header fields together.
+    /// Size of start line and header fields together.
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = std::uint64_t{16} * 1024 * 1024;
     std::size_t connections = 1000;
-    /// The most bytes that a connection holds unread; the size of the largest piece from readBody().
+    /// The maximum of unparsed bytes that a connection buffers, and the maximum size of a piece from readBody().
     std::size_t readBufferBytes = std::size_t{64} * 1024;
-    /// How long a connection may stand without a request, and an exchange without a byte either way.
+    /// How long a connection may stay open without a request, and how long one read or write of an exchange may wait
+    /// without a byte being transferred.
     Duration idleTime = std::chrono::seconds(60);
-    /// From the first byte of a head to its last.
+    /// The maximum time from the first byte of a request head to its last byte.
     Duration headerReadTime = std::chrono::seconds(10);
-    /// After stopAccepting(), how long an idle connection may still bring a request that was already on its way.
+    /// How long an idle connection stays open after stopAccepting(), for a request that was already on its way.
     Duration closeGrace = Milliseconds(200);
-    /// Added to the answers that the server itself gives to requests that never reach the handler.
+    /// Header fields added to the server's own answers to requests that don't reach the handler.
     HttpHeaders refusalHeaders;
 };
 
-/// Counts since the start.
+/// Counters since the server was created.
 struct HttpServerCounts
 {
     std::uint64_t acceptedConnections = 0;
     /// Connections answered with 503 because of HttpLimits::connections.
     std::uint64_t refusedConnections = 0;
     std::uint64_t requests = 0;
-    /// Malformed or too large requests; none reached the handler.
+    /// Malformed or too large requests that were refused before they reached the handler.
     std::uint64_t refusedRequests = 0;
-    /// Handlers that ended with an exception.
+    /// Handlers that exited with an exception.
     std::uint64_t failedHandlers = 0;
 };
 
@@ -53,13 +55,13 @@
 
 /// An HTTP/1.1 server on one executor.
 ///
-/// Thread safety: none; use it on the thread of its executor. The destructor drops all connections; a handler that
-/// still runs sees Cancelled from its next operation.
+/// Thread safety: none; use it on the thread of its executor. The destructor resets all connections; the next operation
+/// of a handler that is still running fails with Cancelled.
 class HttpServer
 {
 public:
-    /// Runs once for each request, as a coroutine on the server's executor. Requests of one connection may run beside
-    /// each other; see HttpExchange::waitForTurn().
+    /// Runs once for each request, as a coroutine on the server's executor. Requests of one connection may run
+    /// concurrently; see HttpExchange::waitForTurn().
     using Handler = std::function<boost::asio::awaitable<void>(HttpExchange &)>;
 
     HttpServer(boost::asio::any_io_executor executor, HttpLimits limits, Handler handler);
@@ -67,20 +69,21 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /// Starts to accept at @p endpoint and returns where it listens: port 0 picks a free one. It may be called for
-    /// several endpoints. Errors: ConnectFailed (the address is malformed or can't be bound).
+    /// Starts to accept connections at @p endpoint and returns the endpoint with its actual port: port 0 selects a free
+    /// port. May be called for several endpoints. Errors: ConnectFailed (the address is malformed or can't be bound).
     [[nodiscard]] Result<Endpoint> listen(const Endpoint &endpoint);
 
-    /// Changes the limits of later requests and connections; the count of connections and the buffers stay.
+    /// Changes the limits for later requests and connections. Open connections stay open and keep their buffers.
     void setLimits(const HttpLimits &limits);
-    /// Ends each connection after its next response, and goes on to accept: callers move to other servers.
+    /// Closes each connection after its next response, so that callers move to other servers. New connections are still
+    /// accepted.
     void leaveCallers();
-    /// Begins the graceful shutdown: accepts no more connections (those that wait in the backlog are still served),
-    /// lets exchanges in flight finish with "Connection: close", and closes idle connections after the grace time.
+    /// Starts the graceful shutdown: accepts no more connections, except those already in the backlog, lets exchanges
+    /// in flight finish with "Connection: close", and closes idle connections after HttpLimits::closeGrace.
     void stopAccepting();
-    /// Resumes when no connection is left. Precondition: stopAccepting() was called. May be awaited by many.
+    /// Resumes when no connection is left. Precondition: stopAccepting() was called. Several coroutines may await it.
     [[nodiscard]] boost::asio::awaitable<void> drained();
-    /// Drops what is left, for when the time to drain is over.
+    /// Stops accepting and resets all remaining connections. Used when the time to drain has passed.
     void closeAll();
 
     [[nodiscard]] std::size_t connectionCount() const;
--- a/src/http/httpserverconnection.cpp
+++ b/src/http/httpserverconnection.cpp
@@ -29,15 +29,15 @@
 constexpr std::uint16_t UnavailableStatus = 503;
 constexpr std::uint16_t VersionStatus = 505;
 
-/// How long a closed connection still takes and drops what the caller sends. Closing with unread bytes would reset the
-/// connection, and the caller would lose the answer that says why it was refused.
+/// How long a connection that is being closed still reads and discards bytes from the caller. Closing it with unread
+/// bytes would reset the connection, and the caller would lose the answer that says why the request was refused.
 constexpr Milliseconds LingerTime{1000};
 
-/// Requests of one connection that run at the same time. Callers send a few ahead; more are read once these have been
-/// answered, so that one connection can't take all of a node's memory.
-constexpr std::size_t PipelineDepth = 16;
+/// Limit of concurrent requests on one connection, so that one connection can't use up a node's memory. Callers
+/// pipeline only a few requests. Further requests are read once earlier requests have been answered.
+constexpr std::size_t MaxPipelinedRequests = 16;
 
-std::uint16_t statusOf(MessageProblem problem)
+std::uint16_t toStatus(MessageProblem problem)
 {
     switch (problem) {
     case MessageProblem::HeaderTooLarge:
@@ -61,10 +61,10 @@
     , remote_(std::move(remote))
     , server_(std::move(server))
     , buffer_(std::max<std::size_t>(server_->limits().readBufferBytes, server_->limits().headerBytes))
-    , readTimer_(server_->executor(), [this] { readTimeExpired(); })
-    , writeTimer_(server_->executor(), [this] { writeTimeExpired(); })
-    , completed_(server_->executor(), asio::steady_timer::time_point::max())
-    , stopping_(server_->stopping())
+    , readTimer_(server_->executor(), [this] { onReadTimeout(); })
+    , writeTimer_(server_->executor(), [this] { onWriteTimeout(); })
+    , completionSignal_(server_->executor(), asio::steady_timer::time_point::max())
+    , isDraining_(server_->isDraining())
 {
 }
 
@@ -81,40 +81,40 @@
 asio::awaitable<void> HttpServerConnection::run()
 {
     const auto self = shared_from_this();
-    while (reading_) {
+    while (isReading_) {
         const auto exchange = std::make_shared<HttpServerExchange>(self, server_->limits());
         if (!co_await readHead(*exchange)) {
             break;
         }
-        exchange->begin();
+        exchange->onHeadRead();
         exchanges_.push_back(exchange);
         asio::co_spawn(executor(), serve(exchange), asio::detached);
         co_await exchange->waitForBody();
-        if (!exchange->bodyRead()) {
-            unreadRequest_ = true;
+        if (!exchange->isBodyRead()) {
+            hasUnreadInput_ = true;
             break;
         }
         buffer_.shrink();
-        co_await waitForRoom();
+        co_await waitForPipelineSpace();
     }
-    reading_ = false;
+    isReading_ = false;
     co_await waitUntilAllAnswered();
-    co_await closeGently();
+    co_await closeGracefully();
 }
 
 asio::awaitable<void> HttpServerConnection::refuse()
 {
     const auto self = shared_from_this();
-    idle_ = false;
-    unreadRequest_ = true;
-    co_await answerRefusal(UnavailableStatus, "too many connections");
-    co_await closeGently();
+    isIdle_ = false;
+    hasUnreadInput_ = true;
+    co_await sendRefusal(UnavailableStatus, "too many connections");
+    co_await closeGracefully();
 }
 
-void HttpServerConnection::beginStop()
+void HttpServerConnection::startDraining()
 {
-    stopping_ = true;
-    if (idle_ && exchanges_.empty()) {
+    isDraining_ = true;
+    if (isIdle_ && exchanges_.empty()) {
         readTimer_.expireAfter(server_->limits().closeGrace);
     }
 }
@@ -125,53 +125,53 @@
     recordCallerDisconnected();
 }
 
-/// Returns whether a request is there to be served.
+/// Reads the head of the next request. Returns whether there is a request to serve.
 asio::awaitable<bool> HttpServerConnection::readHead(HttpServerExchange &exchange)
 {
     const HttpLimits &limits = server_->limits();
     RequestParser &parser = exchange.parser();
-    idle_ = buffer_.empty();
-    inHead_ = !idle_;
-    if (inHead_) {
+    isIdle_ = buffer_.empty();
+    isReadingHead_ = !isIdle_;
+    if (isReadingHead_) {
         readTimer_.expireAfter(limits.headerReadTime);
     } else {
-        armIdleLimit();
+        startIdleTimer();
     }
     MessageProblem problem = parser.feed(buffer_);
-    while (problem == MessageProblem::None && !parser.headDone()) {
+    while (problem == MessageProblem::None && !parser.isHeadDone()) {
         if (co_await readSome(socket_, buffer_)) {
-            if (timedOut_ && inHead_) {
-                unreadRequest_ = true;
+            if (hasTimedOut_ && isReadingHead_) {
+                hasUnreadInput_ = true;
                 co_await waitUntilAllAnswered();
-                co_await answerRefusal(RequestTimeoutStatus, "the request head took too long");
-            } else if (!timedOut_ && reading_) {
+                co_await sendRefusal(RequestTimeoutStatus, "the request head took too long");
+            } else if (!hasTimedOut_ && isReading_) {
                 recordCallerDisconnected();
             }
             co_return false;
         }
-        if (std::exchange(idle_, false)) {
-            inHead_ = true;
+        if (std::exchange(isIdle_, false)) {
+            isReadingHead_ = true;
             readTimer_.expireAfter(limits.headerReadTime);
         }
         problem = parser.feed(buffer_);
     }
-    inHead_ = false;
+    isReadingHead_ = false;
     readTimer_.disarm();
     if (problem != MessageProblem::None) {
-        co_await answerProblem(problem);
+        co_await refuseRequest(problem);
         co_return false;
     }
-    co_return reading_;
+    co_return isReading_;
 }
 
-/// An idle connection ends in time; one whose responses are still due waits for them first.
-void HttpServerConnection::armIdleLimit()
+/// Starts the idle timeout. While responses are still due, the connection is not idle and has no timeout.
+void HttpServerConnection::startIdleTimer()
 {
     if (!exchanges_.empty()) {
         readTimer_.disarm();
         return;
     }
-    readTimer_.expireAfter(stopping_ ? server_->limits().closeGrace : server_->limits().idleTime);
+    readTimer_.expireAfter(isDraining_ ? server_->limits().closeGrace : server_->limits().idleTime);
 }
 
 asio::awaitable<void> HttpServerConnection::serve(std::shared_ptr<HttpServerExchange> exchange)
@@ -183,7 +183,7 @@
         try {
             co_await server_->handler()(handle);
         } catch (...) {
-            // An error of the handler ends its own exchange only: the response is incomplete, and finish() shows it.
+            // An error of the handler affects only its own exchange: finish() handles the incomplete response.
             ++server_->counts_.failedHandlers;
         }
     }
@@ -193,25 +193,25 @@
 
 void HttpServerConnection::complete(const HttpServerExchange &exchange)
 {
-    const bool keepsAlive = exchange.keepsAlive();
+    const bool keepAlive = exchange.keepAlive();
     std::erase_if(exchanges_, [&exchange](const auto &item) { return item.get() == &exchange; });
-    if (!keepsAlive) {
+    if (!keepAlive) {
         stopReading();
     }
     if (!exchanges_.empty()) {
-        exchanges_.front()->turnCame();
-    } else if (idle_ && reading_) {
-        armIdleLimit();
+        exchanges_.front()->onTurn();
+    } else if (isIdle_ && isReading_) {
+        startIdleTimer();
     }
-    completed_.cancel();
+    completionSignal_.cancel();
 }
 
-/// Nothing more is read, and nobody waits for the responses that are still due: the caller has gone, or the connection
-/// ends after a response, and what was sent behind that one counts as not read.
+/// Stops reading and tells the remaining exchanges that the caller disconnected. Either the caller has disconnected, or
+/// the connection closes after a response and the caller treats the requests after it as not read.
 void HttpServerConnection::stopReading()
 {
-    reading_ = false;
-    // Copied: a callback may complete an exchange.
+    isReading_ = false;
+    // A copy, since a callback may complete an exchange and change the list.
     const auto exchanges = exchanges_;
     for (const auto &exchange : exchanges) {
         exchange->recordCallerDisconnected();
@@ -220,11 +220,11 @@
     socket_.cancel(ignored);
 }
 
-asio::awaitable<void> HttpServerConnection::waitForRoom()
+asio::awaitable<void> HttpServerConnection::waitForPipelineSpace()
 {
-    while (reading_ && exchanges_.size() >= PipelineDepth) {
+    while (isReading_ && exchanges_.size() >= MaxPipelinedRequests) {
         error_code ignored;
-        co_await completed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await completionSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
@@ -232,19 +232,19 @@
 {
     while (!exchanges_.empty()) {
         error_code ignored;
-        co_await completed_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await completionSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
-asio::awaitable<void> HttpServerConnection::answerProblem(MessageProblem problem)
+asio::awaitable<void> HttpServerConnection::refuseRequest(MessageProblem problem)
 {
     ++server_->counts_.refusedRequests;
-    unreadRequest_ = true;
+    hasUnreadInput_ = true;
     co_await waitUntilAllAnswered();
-    co_await answerRefusal(statusOf(problem), "malformed or too large request");
+    co_await sendRefusal(toStatus(problem), "malformed or too large request");
 }
 
-asio::awaitable<void> HttpServerConnection::answerRefusal(std::uint16_t status, std::string detail)
+asio::awaitable<void> HttpServerConnection::sendRefusal(std::uint16_t status, std::string detail)
 {
     if (callerDisconnected_) {
         co_return;
@@ -255,13 +255,13 @@
     head.headers.add("Content-Type", "text/plain");
     detail += '\n';
     const auto text = writeResponseHead(head, MessageFraming{detail.size(), false, false});
-    timedOut_ = false;
+    hasTimedOut_ = false;
     std::size_t written = 0;
     (void)co_await write(text.value_or(std::string()) + detail, written);
 }
 
-/// Ends the connection so that what was written still arrives.
-asio::awaitable<void> HttpServerConnection::closeGently()
+/// Closes the connection in a way that lets the written bytes still arrive.
+asio::awaitable<void> HttpServerConnection::closeGracefully()
 {
     error_code ignored;
     if (!socket_.is_open() || callerDisconnected_) {
@@ -270,9 +270,9 @@
     }
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     readTimer_.expireAfter(LingerTime);
-    timedOut_ = false;
-    const bool lingers = unreadRequest_ || !buffer_.empty();
-    while (lingers && !timedOut_ && socket_.is_open()) {
+    hasTimedOut_ = false;
+    const bool shouldLinger = hasUnreadInput_ || !buffer_.empty();
+    while (shouldLinger && !hasTimedOut_ && socket_.is_open()) {
         buffer_.consume(buffer_.unread().size());
         if (co_await readSome(socket_, buffer_)) {
             break;
@@ -289,9 +289,9 @@
 
 bool HttpServerConnection::closesAfter(const HttpServerExchange &exchange) const
 {
-    // Requests that were read behind this one are still answered first.
+    // Requests that were read after this one are still answered before the connection closes.
     const bool isLast = !exchanges_.empty() && exchanges_.back().get() == &exchange;
-    return isLast && (stopping_ || server_->leavesCallers());
+    return isLast && (isDraining_ || server_->isKeepAliveDisabled());
 }
 
 asio::awaitable<error_code> HttpServerConnection::readBodyBytes()
@@ -310,15 +310,15 @@
     co_return error;
 }
 
-void HttpServerConnection::readTimeExpired()
+void HttpServerConnection::onReadTimeout()
 {
-    timedOut_ = true;
+    hasTimedOut_ = true;
     error_code ignored;
     socket_.cancel(ignored);
 }
 
-/// A caller that takes no byte of its response for so long counts as gone.
-void HttpServerConnection::writeTimeExpired()
+/// A caller that accepts no byte of its response for HttpLimits::idleTime counts as disconnected.
+void HttpServerConnection::onWriteTimeout()
 {
     drop();
 }
--- a/src/http/httpserverconnection.h
+++ b/src/http/httpserverconnection.h
@@ -22,11 +22,11 @@
 class HttpServerExchange;
 class HttpServerState;
 
-/// One accepted connection: reads requests, runs the handler for each, and keeps the responses in their order.
+/// One accepted connection: reads requests, runs the handler for each, and sends the responses in the order of the
+/// requests.
 ///
-/// Requests that a caller sends before the earlier responses run beside each other, so that one slow request does not
-/// hold up those behind it. Reading goes on while handlers run; that is also how a caller that leaves is noticed.
-/// Thread safety: none.
+/// Pipelined requests run concurrently, so that a slow request does not delay the requests after it. The connection
+/// keeps reading while handlers run, which is also how it detects that the caller disconnected. Thread safety: none.
 class HttpServerConnection : public std::enable_shared_from_this<HttpServerConnection>
 {
 public:
@@ -35,43 +35,44 @@
     HttpServerConnection(const HttpServerConnection &) = delete;
     HttpServerConnection &operator=(const HttpServerConnection &) = delete;
 
-    /// Serves requests until the connection ends.
+    /// Serves requests until the connection is closed.
     [[nodiscard]] boost::asio::awaitable<void> run();
-    /// Answers 503 and closes.
+    /// Answers 503 and closes the connection.
     [[nodiscard]] boost::asio::awaitable<void> refuse();
-    /// The server stops: the responses in progress are the last ones, an idle connection ends after the grace time.
-    void beginStop();
-    /// Closes at once with a reset.
+    /// Starts the graceful shutdown: the connection closes after the responses in progress, or, if it is idle, after
+    /// HttpLimits::closeGrace.
+    void startDraining();
+    /// Resets the connection at once.
     void drop();
 
-    // What the exchanges of this connection use.
+    // Used by the exchanges of this connection.
     [[nodiscard]] const boost::asio::any_io_executor &executor() const;
     [[nodiscard]] const Endpoint &remoteEndpoint() const { return remote_; }
     [[nodiscard]] ReadBuffer &buffer() { return buffer_; }
     [[nodiscard]] bool isOpen() const { return socket_.is_open(); }
-    [[nodiscard]] bool timedOut() const { return timedOut_; }
+    [[nodiscard]] bool hasTimedOut() const { return hasTimedOut_; }
     [[nodiscard]] bool isFirst(const HttpServerExchange &exchange) const;
-    /// Whether the response to @p exchange is the last one of a connection that is to end.
+    /// Whether the connection closes after the response to @p exchange.
     [[nodiscard]] bool closesAfter(const HttpServerExchange &exchange) const;
-    /// Reads once into buffer(), bounded by the idle time.
+    /// Reads once into buffer(); times out after HttpLimits::idleTime.
     [[nodiscard]] boost::asio::awaitable<boost::system::error_code> readBodyBytes();
-    /// Writes all of @p data, bounded by the idle time; adds what left to @p written.
+    /// Writes all of @p data; times out after HttpLimits::idleTime. Adds the number of written bytes to @p written.
     [[nodiscard]] boost::asio::awaitable<boost::system::error_code> write(std::string data, std::size_t &written);
     void recordCallerDisconnected();
 
 private:
     [[nodiscard]] boost::asio::awaitable<bool> readHead(HttpServerExchange &exchange);
     [[nodiscard]] boost::asio::awaitable<void> serve(std::shared_ptr<HttpServerExchange> exchange);
-    [[nodiscard]] boost::asio::awaitable<void> waitForRoom();
+    [[nodiscard]] boost::asio::awaitable<void> waitForPipelineSpace();
     [[nodiscard]] boost::asio::awaitable<void> waitUntilAllAnswered();
-    [[nodiscard]] boost::asio::awaitable<void> answerProblem(MessageProblem problem);
-    [[nodiscard]] boost::asio::awaitable<void> answerRefusal(std::uint16_t status, std::string detail);
-    [[nodiscard]] boost::asio::awaitable<void> closeGently();
+    [[nodiscard]] boost::asio::awaitable<void> refuseRequest(MessageProblem problem);
+    [[nodiscard]] boost::asio::awaitable<void> sendRefusal(std::uint16_t status, std::string detail);
+    [[nodiscard]] boost::asio::awaitable<void> closeGracefully();
     void complete(const HttpServerExchange &exchange);
     void stopReading();
-    void armIdleLimit();
-    void readTimeExpired();
-    void writeTimeExpired();
+    void startIdleTimer();
+    void onReadTimeout();
+    void onWriteTimeout();
 
     boost::asio::ip::tcp::socket socket_;
     Endpoint remote_;
@@ -79,19 +80,19 @@
     ReadBuffer buffer_;
     SocketTimer readTimer_;
     SocketTimer writeTimer_;
-    /// Requests without a complete response, the earliest first.
+    /// Exchanges without a complete response, the earliest first.
     std::deque<std::shared_ptr<HttpServerExchange>> exchanges_;
-    /// Never expires; cancelled when an exchange was completed.
-    boost::asio::steady_timer completed_;
-    /// Waits for the first byte of a head.
-    bool idle_ = true;
-    /// Reads the rest of a head.
-    bool inHead_ = false;
-    bool reading_ = true;
-    bool stopping_ = false;
-    bool timedOut_ = false;
+    /// A timer that never expires; cancelled to wake up its waiters when an exchange was completed.
+    boost::asio::steady_timer completionSignal_;
+    /// Waiting for the first byte of a request head.
+    bool isIdle_ = true;
+    /// Reading the rest of a request head.
+    bool isReadingHead_ = false;
+    bool isReading_ = true;
+    bool isDraining_ = false;
+    bool hasTimedOut_ = false;
     bool callerDisconnected_ = false;
-    bool unreadRequest_ = false;
+    bool hasUnreadInput_ = false;
 };
 
 }
--- a/src/http/httpserverexchange.cpp
+++ b/src/http/httpserverexchange.cpp
@@ -28,7 +28,7 @@
     return status == NoContent || status == NotModified;
 }
 
-Failure gone()
+Failure disconnectedFailure()
 {
     return mayHaveRun(Reason::Cancelled, "the caller went away");
 }
@@ -38,8 +38,8 @@
 HttpServerExchange::HttpServerExchange(std::shared_ptr<HttpServerConnection> connection, const HttpLimits &limits)
     : connection_(std::move(connection))
     , parser_(limits.headerBytes, limits.bodyBytes)
-    , turn_(connection_->executor(), asio::steady_timer::time_point::max())
-    , bodyEnd_(connection_->executor(), asio::steady_timer::time_point::max())
+    , turnSignal_(connection_->executor(), asio::steady_timer::time_point::max())
+    , bodyReadSignal_(connection_->executor(), asio::steady_timer::time_point::max())
 {
 }
 
@@ -48,25 +48,25 @@
     return connection_->remoteEndpoint();
 }
 
-void HttpServerExchange::begin()
+void HttpServerExchange::onHeadRead()
 {
     keepAlive_ = parser_.head().keepAlive;
     const auto expectation = parser_.head().headers.find("Expect");
-    continueWanted_ = expectation && sameHeaderName(*expectation, "100-continue");
+    expectsContinue_ = expectation && isSameHeaderName(*expectation, "100-continue");
 }
 
 asio::awaitable<Result<std::string>> HttpServerExchange::readBody()
 {
     for (;;) {
         std::string body = parser_.takeBody();
-        if (!body.empty() || parser_.done()) {
-            noteBodyRead();
+        if (!body.empty() || parser_.isDone()) {
+            signalBodyRead();
             co_return body;
         }
         if (callerDisconnected_) {
             co_return notRun(Reason::Cancelled, "the caller went away");
         }
-        if (std::exchange(continueWanted_, false)) {
+        if (std::exchange(expectsContinue_, false)) {
             if (auto sent = co_await sendContinue(); !sent) {
                 co_return notRun(Reason::Cancelled, "the caller went away");
             }
@@ -82,7 +82,7 @@
     const error_code error = co_await connection_->readBodyBytes();
     if (error) {
         keepAlive_ = false;
-        if (connection_->timedOut()) {
+        if (connection_->hasTimedOut()) {
             co_return notRun(Reason::DeadlinePassed, "the request body stalled");
         }
         connection_->recordCallerDisconnected();
@@ -103,22 +103,22 @@
     return notRun(Reason::BadRequest, "the request body is malformed");
 }
 
-void HttpServerExchange::noteBodyRead()
+void HttpServerExchange::signalBodyRead()
 {
-    if (parser_.done()) {
-        bodyEnd_.cancel();
+    if (parser_.isDone()) {
+        bodyReadSignal_.cancel();
     }
 }
 
 asio::awaitable<Result<void>> HttpServerExchange::sendContinue()
 {
     co_await waitForTurn();
-    const auto sent = co_await writeOut("HTTP/1.1 100 Continue\r\n\r\n");
-    bytesOfResponse_ = 0; // It is no part of the response.
+    const auto sent = co_await writeBytes("HTTP/1.1 100 Continue\r\n\r\n");
+    responseBytesSent_ = 0; // The interim response doesn't count as part of the response.
     co_return sent;
 }
 
-/// The response to a HEAD request shows the head that GET would have, without its body.
+/// The response to a HEAD request has the same head as the response to GET, but no body.
 bool HttpServerExchange::responseCarriesBody(std::uint16_t status) const
 {
     return parser_.head().method != "HEAD" && !statusForbidsBody(status);
@@ -126,17 +126,18 @@
 
 Result<void> HttpServerExchange::prepareResponse(const HttpResponseHead &head, std::optional<std::uint64_t> length)
 {
-    // What is left of the request would be taken for the next one, so the connection ends after this response.
-    keepAlive_ = keepAlive_ && !connection_->closesAfter(*this) && parser_.done();
+    // If the request was not read completely, its rest would be parsed as the next request. The connection therefore
+    // closes after this response.
+    keepAlive_ = keepAlive_ && !connection_->closesAfter(*this) && parser_.isDone();
     const MessageFraming framing{length, keepAlive_, statusForbidsBody(head.status)};
     auto text = writeResponseHead(head, framing);
     if (!text) {
         return notRun(Reason::BadRequest, "a response head that no message may carry");
     }
-    bodiless_ = !responseCarriesBody(head.status);
-    remaining_ = length;
+    omitsBody_ = !responseCarriesBody(head.status);
+    remainingBytes_ = length;
     pendingHead_ = std::move(*text);
-    response_ = ResponseState::Begun;
+    response_ = ResponseState::Started;
     return boost::outcome_v2::success();
 }
 
@@ -146,7 +147,7 @@
     if (auto prepared = prepareResponse(head, body.size()); !prepared) {
         co_return prepared;
     }
-    if (bodiless_) {
+    if (omitsBody_) {
         body.clear();
     }
     auto written = co_await writePiece(std::move(body), false);
@@ -161,61 +162,61 @@
 {
     co_await waitForTurn();
     if (callerDisconnected_) {
-        co_return gone();
+        co_return disconnectedFailure();
     }
     co_return prepareResponse(head, length);
 }
 
 asio::awaitable<Result<void>> HttpServerExchange::writeBody(std::string chunk)
 {
-    if (remaining_ && chunk.size() > *remaining_) {
+    if (remainingBytes_ && chunk.size() > *remainingBytes_) {
         co_return mayHaveRun(Reason::TooLarge, "more body than announced");
     }
-    if (remaining_) {
-        *remaining_ -= chunk.size();
+    if (remainingBytes_) {
+        *remainingBytes_ -= chunk.size();
     }
-    if (chunk.empty() || bodiless_) {
+    if (chunk.empty() || omitsBody_) {
         co_return boost::outcome_v2::success();
     }
-    co_return co_await writePiece(std::move(chunk), !remaining_);
+    co_return co_await writePiece(std::move(chunk), !remainingBytes_);
 }
 
 asio::awaitable<Result<void>> HttpServerExchange::endResponse()
 {
-    if (remaining_.value_or(0) > 0 && !bodiless_) {
+    if (remainingBytes_.value_or(0) > 0 && !omitsBody_) {
         abort();
         co_return mayHaveRun(Reason::BadAnswer, "less body than announced");
     }
     std::string data = std::exchange(pendingHead_, {});
-    if (!remaining_ && !bodiless_) {
+    if (!remainingBytes_ && !omitsBody_) {
         data += writeLastChunk();
     }
-    auto written = co_await writeOut(std::move(data));
+    auto written = co_await writeBytes(std::move(data));
     if (written) {
         response_ = ResponseState::Complete;
     }
     co_return written;
 }
 
-/// Writes a piece of the body, with the head before it if that has not left yet.
+/// Writes a piece of the body, preceded by the head if the head was not sent yet.
 asio::awaitable<Result<void>> HttpServerExchange::writePiece(std::string content, bool chunked)
 {
-    BodyWrites writes = joinBodyPiece(std::exchange(pendingHead_, {}), std::move(content), chunked);
-    auto written = co_await writeOut(std::move(writes.first));
+    BodyWrites writes = joinHeadAndBody(std::exchange(pendingHead_, {}), std::move(content), chunked);
+    auto written = co_await writeBytes(std::move(writes.first));
     if (written && !writes.second.empty()) {
-        written = co_await writeOut(std::move(writes.second));
+        written = co_await writeBytes(std::move(writes.second));
     }
     co_return written;
 }
 
-asio::awaitable<Result<void>> HttpServerExchange::writeOut(std::string data)
+asio::awaitable<Result<void>> HttpServerExchange::writeBytes(std::string data)
 {
     if (callerDisconnected_ || !connection_->isOpen()) {
-        co_return gone();
+        co_return disconnectedFailure();
     }
-    if (const error_code error = co_await connection_->write(std::move(data), bytesOfResponse_)) {
+    if (const error_code error = co_await connection_->write(std::move(data), responseBytesSent_)) {
         connection_->recordCallerDisconnected();
-        co_return gone();
+        co_return disconnectedFailure();
     }
     co_return boost::outcome_v2::success();
 }
@@ -225,16 +226,16 @@
     const auto self = shared_from_this();
     while (!callerDisconnected_ && !connection_->isFirst(*this)) {
         error_code ignored;
-        co_await turn_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await turnSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
 asio::awaitable<void> HttpServerExchange::waitForBody()
 {
     const auto self = shared_from_this();
-    while (!parser_.done() && !finished_) {
+    while (!parser_.isDone() && !isFinished_) {
         error_code ignored;
-        co_await bodyEnd_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await bodyReadSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
@@ -248,7 +249,8 @@
 {
     callerDisconnectedCallback_ = std::move(callback);
     if (callerDisconnected_ && callerDisconnectedCallback_) {
-        // What is set when the post runs is called: the handler may have replaced or dropped the callback by then.
+        // The posted function calls the callback that is set when it runs, because the handler may have replaced or
+        // removed this one by then.
         asio::post(connection_->executor(), [self = shared_from_this()] { self->recordCallerDisconnected(); });
     }
 }
@@ -258,8 +260,8 @@
     callerDisconnectedCallback_ = nullptr;
     co_await waitForTurn();
     if (response_ == ResponseState::Complete) {
-        keepAlive_ = keepAlive_ && parser_.done() && !callerDisconnected_;
-    } else if (!responseBegun() && !callerDisconnected_ && connection_->isOpen()) {
+        keepAlive_ = keepAlive_ && parser_.isDone() && !callerDisconnected_;
+    } else if (!hasResponseStarted() && !callerDisconnected_ && connection_->isOpen()) {
         keepAlive_ = false;
         HttpResponseHead head;
         head.status = InternalErrorStatus;
@@ -267,23 +269,23 @@
     } else {
         abort();
     }
-    finished_ = true;
-    bodyEnd_.cancel();
+    isFinished_ = true;
+    bodyReadSignal_.cancel();
 }
 
 void HttpServerExchange::recordCallerDisconnected()
 {
     keepAlive_ = false;
     callerDisconnected_ = true;
-    turn_.cancel();
+    turnSignal_.cancel();
     if (const auto callback = std::exchange(callerDisconnectedCallback_, nullptr)) {
         callback();
     }
 }
 
-void HttpServerExchange::turnCame()
+void HttpServerExchange::onTurn()
 {
-    turn_.cancel();
+    turnSignal_.cancel();
 }
 
 }
--- a/src/http/httpserverexchange.h
+++ b/src/http/httpserverexchange.h
@@ -20,10 +20,11 @@
 class HttpServerConnection;
 struct HttpLimits;
 
-/// One request on an accepted connection and the response to it, whose contract HttpExchange carries.
+/// One request on an accepted connection and the response to it. HttpExchange forwards to this class and documents the
+/// contract of its operations.
 ///
-/// A connection has several of them at once when its caller sends requests before the earlier responses; each waits
-/// for its turn before it writes. Thread safety: none.
+/// A connection has several exchanges at once when its caller pipelines requests. Each exchange waits for its turn
+/// before it writes. Thread safety: none.
 class HttpServerExchange : public std::enable_shared_from_this<HttpServerExchange>
 {
 public:
@@ -32,8 +33,8 @@
     [[nodiscard]] RequestParser &parser() { return parser_; }
     [[nodiscard]] const HttpRequestHead &head() const { return parser_.head(); }
     [[nodiscard]] const Endpoint &remoteEndpoint() const;
-    /// Called once, when the head was read.
-    void begin();
+    /// Called once, after the head was read.
+    void onHeadRead();
 
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
     [[nodiscard]] boost::asio::awaitable<Result<void>> respond(HttpResponseHead head, std::string body);
@@ -41,52 +42,53 @@
                                                                      std::optional<std::uint64_t> length);
     [[nodiscard]] boost::asio::awaitable<Result<void>> writeBody(std::string chunk);
     [[nodiscard]] boost::asio::awaitable<Result<void>> endResponse();
-    /// Resumes when all earlier responses of the connection are complete, or the caller is gone.
+    /// Resumes when all earlier responses of the connection are complete, or the caller disconnected.
     [[nodiscard]] boost::asio::awaitable<void> waitForTurn();
     void abort();
-    [[nodiscard]] bool responseBegun() const { return bytesOfResponse_ > 0; }
+    [[nodiscard]] bool hasResponseStarted() const { return responseBytesSent_ > 0; }
     [[nodiscard]] bool callerDisconnected() const { return callerDisconnected_; }
     void onCallerDisconnected(std::function<void()> callback);
 
-    /// Makes sure that exactly one complete response was sent, or that the connection shows that it was not.
+    /// Called after the handler returned. If the response is incomplete, sends a 500 if nothing was sent, and resets
+    /// the connection otherwise.
     [[nodiscard]] boost::asio::awaitable<void> finish();
-    /// Resumes when the body was read, or nobody will read it.
+    /// Resumes when the body was read, or the exchange finished without reading it.
     [[nodiscard]] boost::asio::awaitable<void> waitForBody();
-    [[nodiscard]] bool bodyRead() const { return parser_.done(); }
+    [[nodiscard]] bool isBodyRead() const { return parser_.isDone(); }
     /// Whether the connection may serve another request after this one.
-    [[nodiscard]] bool keepsAlive() const { return keepAlive_; }
+    [[nodiscard]] bool keepAlive() const { return keepAlive_; }
     void recordCallerDisconnected();
-    /// It is now the first of its connection.
-    void turnCame();
+    /// Called when this exchange has become the first of its connection.
+    void onTurn();
 
 private:
-    /// How far the response has come.
-    enum class ResponseState : std::uint8_t { None, Begun, Complete };
+    /// The progress of the response.
+    enum class ResponseState : std::uint8_t { None, Started, Complete };
 
     [[nodiscard]] boost::asio::awaitable<Result<void>> writePiece(std::string content, bool chunked);
-    [[nodiscard]] boost::asio::awaitable<Result<void>> writeOut(std::string data);
+    [[nodiscard]] boost::asio::awaitable<Result<void>> writeBytes(std::string data);
     [[nodiscard]] boost::asio::awaitable<Result<void>> sendContinue();
     [[nodiscard]] boost::asio::awaitable<Result<void>> readMore();
     [[nodiscard]] Result<void> bodyFailure(MessageProblem problem);
     [[nodiscard]] Result<void> prepareResponse(const HttpResponseHead &head, std::optional<std::uint64_t> length);
     [[nodiscard]] bool responseCarriesBody(std::uint16_t status) const;
-    void noteBodyRead();
+    void signalBodyRead();
 
     std::shared_ptr<HttpServerConnection> connection_;
     RequestParser parser_;
-    /// Never expire; cancelled when what is waited for has come.
-    boost::asio::steady_timer turn_;
-    boost::asio::steady_timer bodyEnd_;
+    /// Timers that never expire; cancelled to wake up their waiters when the turn has come or the body was read.
+    boost::asio::steady_timer turnSignal_;
+    boost::asio::steady_timer bodyReadSignal_;
     std::function<void()> callerDisconnectedCallback_;
     ResponseState response_ = ResponseState::None;
     std::string pendingHead_;
-    std::optional<std::uint64_t> remaining_;
-    std::size_t bytesOfResponse_ = 0;
-    bool bodiless_ = false;
-    bool continueWanted_ = false;
+    std::optional<std::uint64_t> remainingBytes_;
+    std::size_t responseBytesSent_ = 0;
+    bool omitsBody_ = false;
+    bool expectsContinue_ = false;
     bool keepAlive_ = true;
     bool callerDisconnected_ = false;
-    bool finished_ = false;
+    bool isFinished_ = false;
 };
 
 }
--- a/src/http/httpserverstate.cpp
+++ b/src/http/httpserverstate.cpp
@@ -21,10 +21,11 @@
 namespace
 {
 
-/// When the process is out of file descriptors every accept fails at once; the pause keeps the loop from spinning.
-constexpr Milliseconds AcceptPause{10};
+/// When the process has no free file descriptor, every accept fails at once; the delay prevents a busy loop.
+constexpr Milliseconds AcceptRetryDelay{10};
 
-/// Connections over the limit are answered with 503, which takes a moment; beyond this many they are only closed.
+/// Connections over the limit are answered with 503, which keeps them open for a short time. Beyond this multiple of
+/// the limit, connections are closed without an answer.
 constexpr std::size_t RefusalFactor = 2;
 
 }
@@ -33,7 +34,7 @@
     : executor_(std::move(executor))
     , limits_(std::move(limits))
     , handler_(std::move(handler))
-    , empty_(executor_, asio::steady_timer::time_point::max())
+    , allClosedSignal_(executor_, asio::steady_timer::time_point::max())
 {
 }
 
@@ -65,15 +66,15 @@
 
 asio::awaitable<void> HttpServerState::acceptLoop(std::shared_ptr<Acceptor> acceptor)
 {
-    asio::steady_timer pause(executor_);
+    asio::steady_timer retryTimer(executor_);
     while (acceptor->is_open()) {
         error_code error;
         tcp::socket socket = co_await acceptor->async_accept(asio::redirect_error(asio::use_awaitable, error));
         if (!error) {
             startConnection(std::move(socket));
         } else if (acceptor->is_open()) {
-            pause.expires_after(AcceptPause);
-            co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, error));
+            retryTimer.expires_after(AcceptRetryDelay);
+            co_await retryTimer.async_wait(asio::redirect_error(asio::use_awaitable, error));
         }
     }
 }
@@ -83,25 +84,25 @@
     error_code error;
     const tcp::endpoint remote = socket.remote_endpoint(error);
     if (error) {
-        return; // The caller was gone before it was accepted.
+        return; // The caller disconnected before its connection was accepted.
     }
     if (connections_.size() >= RefusalFactor * limits_.connections) {
-        return; // Not even a refusal is affordable.
+        return; // Closed without an answer, see RefusalFactor.
     }
     prepareSocket(socket);
     ++counts_.acceptedConnections;
     auto connection = std::make_shared<HttpServerConnection>(std::move(socket), toEndpoint(remote), shared_from_this());
-    const bool overLimit = connections_.size() >= limits_.connections;
-    counts_.refusedConnections += overLimit ? 1 : 0;
+    const bool isOverLimit = connections_.size() >= limits_.connections;
+    counts_.refusedConnections += isOverLimit ? 1 : 0;
     connections_.insert(connection.get());
     asio::co_spawn(
-        executor_, [connection, overLimit] { return overLimit ? connection->refuse() : connection->run(); },
+        executor_, [connection, isOverLimit] { return isOverLimit ? connection->refuse() : connection->run(); },
         asio::detached);
 }
 
 void HttpServerState::stopAccepting()
 {
-    if (std::exchange(stopping_, true)) {
+    if (std::exchange(isDraining_, true)) {
         return;
     }
     for (const std::shared_ptr<Acceptor> &acceptor : acceptors_) {
@@ -111,15 +112,15 @@
     }
     acceptors_.clear();
     for (HttpServerConnection *connection : connections_) {
-        connection->beginStop();
+        connection->startDraining();
     }
     if (connections_.empty()) {
-        empty_.cancel();
+        allClosedSignal_.cancel();
     }
 }
 
-/// The kernel completed these connections already: closing the listener would reset callers whose request may be on
-/// its way. They are taken first.
+/// Accepts the connections in the listener's backlog. The kernel has already established them, so closing the listener
+/// would reset callers whose requests may be on their way.
 void HttpServerState::acceptBacklog(Acceptor &acceptor)
 {
     for (;;) {
@@ -136,9 +137,9 @@
 asio::awaitable<void> HttpServerState::drained()
 {
     const auto self = shared_from_this();
-    while (!stopping_ || !connections_.empty()) {
+    while (!isDraining_ || !connections_.empty()) {
         error_code ignored;
-        co_await empty_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await allClosedSignal_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
@@ -153,8 +154,8 @@
 void HttpServerState::removeConnection(HttpServerConnection *connection)
 {
     connections_.erase(connection);
-    if (stopping_ && connections_.empty()) {
-        empty_.cancel();
+    if (isDraining_ && connections_.empty()) {
+        allClosedSignal_.cancel();
     }
 }
 
--- a/src/http/httpserverstate.h
+++ b/src/http/httpserverstate.h
@@ -18,7 +18,7 @@
 
 class HttpServerConnection;
 
-/// What a HttpServer and its connections share. Thread safety: none.
+/// State shared by an HttpServer and its connections. Thread safety: none.
 class HttpServerState : public std::enable_shared_from_this<HttpServerState>
 {
 public:
@@ -26,16 +26,16 @@
 
     [[nodiscard]] Result<Endpoint> listen(const boost::asio::ip::tcp::endpoint &endpoint);
     void setLimits(const HttpLimits &limits) { limits_ = limits; }
-    void leaveCallers() { leavesCallers_ = true; }
-    [[nodiscard]] bool leavesCallers() const { return leavesCallers_; }
+    void leaveCallers() { isKeepAliveDisabled_ = true; }
+    [[nodiscard]] bool isKeepAliveDisabled() const { return isKeepAliveDisabled_; }
     void stopAccepting();
     [[nodiscard]] boost::asio::awaitable<void> drained();
     void closeAll();
 
-    /// Called by a connection when it is closed.
+    /// Called by the destructor of each connection.
     void removeConnection(HttpServerConnection *connection);
 
-    [[nodiscard]] bool stopping() const { return stopping_; }
+    [[nodiscard]] bool isDraining() const { return isDraining_; }
     [[nodiscard]] std::size_t connectionCount() const { return connections_.size(); }
     [[nodiscard]] const HttpLimits &limits() const { return limits_; }
     [[nodiscard]] const HttpServer::Handler &handler() const { return handler_; }
@@ -55,10 +55,10 @@
     HttpServer::Handler handler_;
     std::vector<std::shared_ptr<Acceptor>> acceptors_;
     std::set<HttpServerConnection *> connections_;
-    /// Never expires; cancelled when the last connection is gone.
-    boost::asio::steady_timer empty_;
-    bool stopping_ = false;
-    bool leavesCallers_ = false;
+    /// A timer that never expires; cancelled to wake up its waiters when the last connection was removed.
+    boost::asio::steady_timer allClosedSignal_;
+    bool isDraining_ = false;
+    bool isKeepAliveDisabled_ = false;
 };
 
 }
--- a/src/http/messageparser.cpp
+++ b/src/http/messageparser.cpp
@@ -18,7 +18,7 @@
 using ErrorCode = boost::beast::error_code;
 using BeastView = boost::beast::string_view;
 
-MessageProblem problemOf(const ErrorCode &error)
+MessageProblem toMessageProblem(const ErrorCode &error)
 {
     if (!error || error == http::error::need_more) {
         return MessageProblem::None;
@@ -32,34 +32,34 @@
     return MessageProblem::Malformed;
 }
 
-/// Collects what Beast's parser reports: the header fields in order and the body without its framing.
+/// Collects the output of Beast's parser: the header fields in order, and the body without its framing.
 template<bool IsRequest>
 class CollectingParser : public http::basic_parser<IsRequest>
 {
 public:
-    explicit CollectingParser(std::uint32_t headerLimit)
-        : headerLimit_(headerLimit)
+    explicit CollectingParser(std::uint32_t maxHeaderBytes)
+        : maxHeaderBytes_(maxHeaderBytes)
     {
-        this->header_limit(headerLimit);
+        this->header_limit(maxHeaderBytes);
         this->eager(true);
     }
 
     MessageProblem feed(ReadBuffer &buffer)
     {
-        if (this->is_done() || buffer.empty() || wouldMisjudgeLastChunk(buffer)) {
+        if (this->is_done() || buffer.empty() || mayHoldPartialLastChunk(buffer)) {
             return MessageProblem::None;
         }
-        fed_ = buffer.unread();
+        input_ = buffer.unread();
         lastFieldEnd_ = 0;
         const bool headWasDone = this->is_header_done();
         ErrorCode error;
-        const std::size_t used = this->put(boost::asio::buffer(fed_.data(), fed_.size()), error);
+        const std::size_t used = this->put(boost::asio::buffer(input_.data(), input_.size()), error);
         buffer.consume(used);
         needsMore_ = error == http::error::need_more;
-        if (!headWasDone && headerOverLimit(used, buffer)) {
+        if (!headWasDone && isHeaderTooLarge(used, buffer)) {
             return MessageProblem::HeaderTooLarge;
         }
-        return problemOf(error);
+        return toMessageProblem(error);
     }
 
     std::string takeBody() { return std::exchange(body_, {}); }
@@ -71,13 +71,13 @@
     void on_field_impl(http::field, BeastView name, BeastView value, ErrorCode &error) override
     {
         if (this->is_header_done()) {
-            return; // Trailers are not passed on.
+            return; // Trailer fields are not forwarded.
         }
         if (isFolded(name, value)) {
             error = http::error::bad_value;
             return;
         }
-        lastFieldEnd_ = static_cast<std::size_t>(value.data() + value.size() - fed_.data());
+        lastFieldEnd_ = static_cast<std::size_t>(value.data() + value.size() - input_.data());
         headers_.add(std::string(name), std::string(value));
     }
 
@@ -100,52 +100,55 @@
     void on_finish_impl(ErrorCode &error) override { error = {}; }
 
 private:
-    /// Beast unfolds a folded value into memory of its own, or skips the fold in front of the value. Proxies that
-    /// see the lines apart would read another message, so neither form is taken.
+    /// Whether the header field was folded over several lines. Beast unfolds such a value into its own memory, or skips
+    /// a fold before the value. Proxies that treat the lines as separate would read a different message, so both forms
+    /// are refused.
     bool isFolded(BeastView name, BeastView value) const
     {
         const std::less<const char *> before;
-        const char *fedEnd = fed_.data() + fed_.size();
-        if (before(value.data(), fed_.data()) || before(fedEnd, value.data())) {
+        const char *inputEnd = input_.data() + input_.size();
+        if (before(value.data(), input_.data()) || before(inputEnd, value.data())) {
             return true;
         }
         const std::string_view gap(name.data() + name.size(), value.data() - (name.data() + name.size()));
         return gap.find_first_of("\r\n") != std::string_view::npos;
     }
 
-    /// Beast asserts that a last chunk, once it asked for the rest of it, comes back with at least the five bytes of
-    /// "0\r\n\r\n". A peer that sends them one by one breaks that, and ends a process that was built with assertions.
-    /// No chunk that the parser waits for is complete in fewer bytes, so waiting for five loses nothing.
-    bool wouldMisjudgeLastChunk(const ReadBuffer &buffer) const
+    /// Whether the unread bytes are too few for a last chunk. After Beast has asked for more bytes of a last chunk, it
+    /// asserts that at least the five bytes of "0\r\n\r\n" are present. A peer that sends them one by one violates the
+    /// assertion, and a process built with assertions would abort. No chunk that the parser waits for is complete in
+    /// fewer than five bytes, so waiting for five causes no delay.
+    bool mayHoldPartialLastChunk(const ReadBuffer &buffer) const
     {
         constexpr std::size_t LastChunkBytes = 5;
         return needsMore_ && this->is_header_done() && buffer.unread().size() < LastChunkBytes;
     }
 
-    /// Beast compares its limit with the unparsed rest only; a head that arrives in pieces would never reach it.
-    bool headerOverLimit(std::size_t used, const ReadBuffer &buffer)
+    /// Checks the limit over all bytes of the head. Beast compares its limit only with the bytes not yet parsed, so a
+    /// head that arrives in pieces would never reach it.
+    bool isHeaderTooLarge(std::size_t used, const ReadBuffer &buffer)
     {
         if (this->is_header_done()) {
-            return headerBytes_ + lastFieldEnd_ > headerLimit_;
+            return headerBytes_ + lastFieldEnd_ > maxHeaderBytes_;
         }
         headerBytes_ += used;
-        return headerBytes_ + buffer.unread().size() > headerLimit_;
+        return headerBytes_ + buffer.unread().size() > maxHeaderBytes_;
     }
 
-    std::uint32_t headerLimit_;
+    std::uint32_t maxHeaderBytes_;
     bool needsMore_ = false;
-    /// Bytes of the head consumed by earlier feeds.
+    /// Bytes of the head consumed by earlier calls of feed().
     std::size_t headerBytes_ = 0;
-    /// Where the last header field ends in what is being fed.
+    /// Offset in input_ at which the last header field ends.
     std::size_t lastFieldEnd_ = 0;
-    std::string_view fed_;
+    std::string_view input_;
     std::string body_;
 };
 
-bool framingIsPlain(const HttpHeaders &headers)
+bool hasSupportedTransferEncoding(const HttpHeaders &headers)
 {
     for (const HttpHeader &field : headers) {
-        if (sameHeaderName(field.name, "Transfer-Encoding") && !sameHeaderName(field.value, "chunked")) {
+        if (isSameHeaderName(field.name, "Transfer-Encoding") && !isSameHeaderName(field.value, "chunked")) {
             return false;
         }
     }
@@ -156,7 +159,7 @@
 {
     std::size_t count = 0;
     for (const HttpHeader &field : headers) {
-        count += sameHeaderName(field.name, "Host") ? 1 : 0;
+        count += isSameHeaderName(field.name, "Host") ? 1 : 0;
     }
     return count == 1;
 }
@@ -172,10 +175,10 @@
 class RequestParser::Implementation : public CollectingParser<true>
 {
 public:
-    Implementation(std::uint32_t headerLimit, std::uint64_t bodyLimit)
-        : CollectingParser(headerLimit)
+    Implementation(std::uint32_t maxHeaderBytes, std::uint64_t maxBodyBytes)
+        : CollectingParser(maxHeaderBytes)
     {
-        this->body_limit(bodyLimit);
+        this->body_limit(maxBodyBytes);
     }
 
     HttpRequestHead head_;
@@ -194,7 +197,7 @@
     void on_header_impl(ErrorCode &error) override
     {
         error = {};
-        if (!framingIsPlain(headers_)) {
+        if (!hasSupportedTransferEncoding(headers_)) {
             error = http::error::bad_transfer_encoding;
         } else if (!hasOneHost(headers_)) {
             error = http::error::bad_field;
@@ -208,8 +211,8 @@
     }
 };
 
-RequestParser::RequestParser(std::uint32_t headerLimit, std::uint64_t bodyLimit)
-    : implementation_(std::make_unique<Implementation>(headerLimit, bodyLimit))
+RequestParser::RequestParser(std::uint32_t maxHeaderBytes, std::uint64_t maxBodyBytes)
+    : implementation_(std::make_unique<Implementation>(maxHeaderBytes, maxBodyBytes))
 {
 }
 
@@ -225,12 +228,12 @@
     return problem;
 }
 
-bool RequestParser::headDone() const
+bool RequestParser::isHeadDone() const
 {
     return implementation_->is_header_done();
 }
 
-bool RequestParser::done() const
+bool RequestParser::isDone() const
 {
     return implementation_->is_done();
 }
@@ -248,11 +251,11 @@
 class ResponseParser::Implementation : public CollectingParser<false>
 {
 public:
-    Implementation(std::uint32_t headerLimit, bool bodiless)
-        : CollectingParser(headerLimit)
+    Implementation(std::uint32_t maxHeaderBytes, bool isHeadResponse)
+        : CollectingParser(maxHeaderBytes)
     {
         this->body_limit(boost::none);
-        this->skip(bodiless);
+        this->skip(isHeadResponse);
     }
 
     HttpResponseHead head_;
@@ -271,7 +274,7 @@
     void on_header_impl(ErrorCode &error) override
     {
         error = {};
-        if (!framingIsPlain(headers_)) {
+        if (!hasSupportedTransferEncoding(headers_)) {
             error = http::error::bad_transfer_encoding;
         }
         head_.headers = std::move(headers_);
@@ -279,8 +282,8 @@
     }
 };
 
-ResponseParser::ResponseParser(std::uint32_t headerLimit, bool bodiless)
-    : implementation_(std::make_unique<Implementation>(headerLimit, bodiless))
+ResponseParser::ResponseParser(std::uint32_t maxHeaderBytes, bool isHeadResponse)
+    : implementation_(std::make_unique<Implementation>(maxHeaderBytes, isHeadResponse))
 {
 }
 
@@ -291,12 +294,12 @@
     return implementation_->feed(buffer);
 }
 
-bool ResponseParser::headDone() const
+bool ResponseParser::isHeadDone() const
 {
     return implementation_->is_header_done();
 }
 
-bool ResponseParser::done() const
+bool ResponseParser::isDone() const
 {
     return implementation_->is_done();
 }
@@ -306,12 +309,12 @@
     return implementation_->keep_alive();
 }
 
-bool ResponseParser::endsWithConnection() const
+bool ResponseParser::needsEof() const
 {
     return implementation_->need_eof();
 }
 
-bool ResponseParser::finishAtEnd()
+bool ResponseParser::finishAtEof()
 {
     ErrorCode error;
     implementation_->put_eof(error);
--- a/src/http/messageparser.h
+++ b/src/http/messageparser.h
@@ -22,19 +22,20 @@
     VersionNotSupported,
 };
 
-/// Parses one request with Beast's parser and refuses what Beast takes but proxies disagree on: folded header fields,
-/// Transfer-Encoding other than "chunked", and a missing or repeated Host. Thread safety: none.
+/// Parses one request with Beast's parser. In addition it refuses requests that Beast accepts but that proxies
+/// interpret differently: folded header fields, a Transfer-Encoding other than "chunked", and a missing or repeated
+/// Host. Thread safety: none.
 class RequestParser
 {
 public:
-    RequestParser(std::uint32_t headerLimit, std::uint64_t bodyLimit);
+    RequestParser(std::uint32_t maxHeaderBytes, std::uint64_t maxBodyBytes);
     ~RequestParser();
 
-    /// Consumes what it can from @p buffer. Returns the problem; after one the parser is of no more use.
+    /// Parses and consumes as many bytes of @p buffer as possible. After a problem the parser must not be used again.
     [[nodiscard]] MessageProblem feed(ReadBuffer &buffer);
-    [[nodiscard]] bool headDone() const;
-    [[nodiscard]] bool done() const;
-    /// Precondition: headDone().
+    [[nodiscard]] bool isHeadDone() const;
+    [[nodiscard]] bool isDone() const;
+    /// Precondition: isHeadDone().
     [[nodiscard]] const HttpRequestHead &head() const;
     /// Body bytes parsed since the last call.
     [[nodiscard]] std::string takeBody();
@@ -48,21 +49,21 @@
 class ResponseParser
 {
 public:
-    /// @p bodiless: the response to a HEAD request.
-    ResponseParser(std::uint32_t headerLimit, bool bodiless);
+    /// @p isHeadResponse says that the request was a HEAD request, whose response has no body.
+    ResponseParser(std::uint32_t maxHeaderBytes, bool isHeadResponse);
     ~ResponseParser();
 
     /// As RequestParser::feed().
     [[nodiscard]] MessageProblem feed(ReadBuffer &buffer);
-    [[nodiscard]] bool headDone() const;
-    [[nodiscard]] bool done() const;
-    /// Whether the connection may serve another request. Precondition: headDone().
+    [[nodiscard]] bool isHeadDone() const;
+    [[nodiscard]] bool isDone() const;
+    /// Whether the connection may serve another request. Precondition: isHeadDone().
     [[nodiscard]] bool keepAlive() const;
-    /// Whether only the end of the connection would end the body. Precondition: headDone().
-    [[nodiscard]] bool endsWithConnection() const;
-    /// The connection ended in good order: the end of a body without a length. Returns whether the message is whole.
-    [[nodiscard]] bool finishAtEnd();
-    /// Precondition: headDone().
+    /// Whether the body ends only when the server closes the connection. Precondition: isHeadDone().
+    [[nodiscard]] bool needsEof() const;
+    /// Finishes the message after the server closed the connection in order. Returns whether the message is complete.
+    [[nodiscard]] bool finishAtEof();
+    /// Precondition: isHeadDone().
     [[nodiscard]] HttpResponseHead takeHead();
     [[nodiscard]] std::uint16_t status() const;
     /// Body bytes parsed since the last call.
--- a/src/http/messagewriter.cpp
+++ b/src/http/messagewriter.cpp
@@ -20,7 +20,7 @@
 namespace http = boost::beast::http;
 
 constexpr int HttpVersion = 11;
-constexpr std::array<std::string_view, 5> FramingNames{
+constexpr std::array<std::string_view, 5> FramingFieldNames{
     "Content-Length", "Transfer-Encoding", "Connection", "Keep-Alive", "Expect",
 };
 
@@ -56,10 +56,10 @@
     return !text.empty() && std::none_of(text.begin(), text.end(), bad);
 }
 
-bool isFraming(std::string_view name)
+bool isFramingField(std::string_view name)
 {
-    return std::any_of(FramingNames.begin(), FramingNames.end(),
-                       [name](std::string_view framing) { return sameHeaderName(framing, name); });
+    return std::any_of(FramingFieldNames.begin(), FramingFieldNames.end(),
+                       [name](std::string_view framing) { return isSameHeaderName(framing, name); });
 }
 
 bool areValid(const HttpHeaders &headers)
@@ -72,12 +72,12 @@
 void addFields(Message &message, const HttpHeaders &headers, const MessageFraming &framing)
 {
     for (const HttpHeader &field : headers) {
-        if (!isFraming(field.name)) {
+        if (!isFramingField(field.name)) {
             message.insert(field.name, field.value);
         }
     }
     message.keep_alive(framing.keepAlive);
-    if (framing.bodiless) {
+    if (framing.hasNoBody) {
         return;
     }
     if (framing.contentLength) {
@@ -126,8 +126,8 @@
 {
     constexpr std::uint16_t FirstFinalStatus = 200;
     constexpr std::uint16_t LastStatus = 599;
-    const bool statusIsFinal = head.status >= FirstFinalStatus && head.status <= LastStatus;
-    if (!statusIsFinal || !isFieldValue(head.reason) || !areValid(head.headers)) {
+    const bool isFinalStatus = head.status >= FirstFinalStatus && head.status <= LastStatus;
+    if (!isFinalStatus || !isFieldValue(head.reason) || !areValid(head.headers)) {
         return std::nullopt;
     }
     http::response<http::empty_body> message;
@@ -143,17 +143,17 @@
     return boost::beast::buffers_to_string(http::make_chunk(boost::asio::buffer(content.data(), content.size())));
 }
 
-BodyWrites joinBodyPiece(std::string pending, std::string content, bool chunked)
+BodyWrites joinHeadAndBody(std::string pendingHead, std::string content, bool chunked)
 {
-    constexpr std::size_t JoinedBodyBytes = std::size_t{16} * 1024;
-    if (!chunked && pending.empty()) {
+    constexpr std::size_t MaxJoinedBytes = std::size_t{16} * 1024;
+    if (!chunked && pendingHead.empty()) {
         return {std::move(content), {}};
     }
-    if (!chunked && content.size() > JoinedBodyBytes) {
-        return {std::move(pending), std::move(content)};
+    if (!chunked && content.size() > MaxJoinedBytes) {
+        return {std::move(pendingHead), std::move(content)};
     }
-    pending += chunked ? writeChunk(content) : content;
-    return {std::move(pending), {}};
+    pendingHead += chunked ? writeChunk(content) : content;
+    return {std::move(pendingHead), {}};
 }
 
 std::string writeLastChunk()
--- a/src/http/readbuffer.cpp
+++ b/src/http/readbuffer.cpp
@@ -14,8 +14,8 @@
 
 }
 
-ReadBuffer::ReadBuffer(std::size_t limit)
-    : limit_(std::max(limit, InitialCapacity))
+ReadBuffer::ReadBuffer(std::size_t maxCapacity)
+    : maxCapacity_(std::max(maxCapacity, InitialCapacity))
 {
     reserve(InitialCapacity);
 }
@@ -30,16 +30,16 @@
         std::memmove(data_.get(), data_.get() + begin_, end_ - begin_);
         end_ -= begin_;
         begin_ = 0;
-    } else if ((full || filled_) && capacity_ < limit_) {
-        reserve(std::min(capacity_ * GrowthFactor, limit_));
+    } else if ((full || wasFilled_) && capacity_ < maxCapacity_) {
+        reserve(std::min(capacity_ * GrowthFactor, maxCapacity_));
     }
-    filled_ = false;
+    wasFilled_ = false;
     return capacity_ - end_;
 }
 
 void ReadBuffer::commit(std::size_t count)
 {
-    filled_ = end_ + count == capacity_;
+    wasFilled_ = end_ + count == capacity_;
     end_ += count;
 }
 
--- a/src/http/socketio.cpp
+++ b/src/http/socketio.cpp
@@ -24,11 +24,13 @@
 using KeepInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
 using KeepCount = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
 
-/// Seconds of silence before the first keep-alive probe, and between probes; probes unanswered until the end.
+/// Seconds without received bytes before the first keep-alive probe, seconds between probes, and the number of
+/// unanswered probes after which the connection is closed.
 constexpr int KeepIdleSeconds = 1;
 constexpr int KeepIntervalSeconds = 1;
 constexpr int KeepProbes = 2;
-/// Milliseconds for which sent bytes may stay unacknowledged: several retransmissions on a link that loses packets.
+/// Milliseconds for which sent bytes may stay unacknowledged. This allows several retransmissions on a link that loses
+/// packets.
 constexpr int UserTimeoutMilliseconds = 2500;
 
 }
@@ -82,7 +84,7 @@
     error_code error;
     const std::size_t count = socket.receive(asio::buffer(byte), asio::socket_base::message_peek, error);
     if (error == asio::error::would_block) {
-        return SocketState::Quiet;
+        return SocketState::Idle;
     }
     return error || count == 0 ? SocketState::Closed : SocketState::Readable;
 }
--- a/src/http/socketio.h
+++ b/src/http/socketio.h
@@ -10,36 +10,40 @@
 namespace Egretpath
 {
 
-/// Makes @p socket ready for use: no delay for small writes, operations that never block the thread, and an end to
-/// connections that go silent.
+/// Sets the options of @p socket: no delay for small writes, non-blocking operations, and detection of dead
+/// connections.
 ///
-/// Guards against connections that a partition or a lost VM leaves open without a reset: nothing more arrives, and
-/// whatever is sent waits for the kernel's retransmissions, minutes by default. Keep-alive finds an idle one within
-/// three seconds, TCP_USER_TIMEOUT one with unacknowledged bytes, and both end it with an error.
+/// A network partition or a lost VM leaves connections open without a reset. Nothing more arrives on them, and sent
+/// bytes wait for the kernel's retransmissions, which take minutes by default. Keep-alive detects an idle dead
+/// connection within three seconds, TCP_USER_TIMEOUT a dead connection with unacknowledged bytes. Both close the
+/// connection with an error.
 void prepareSocket(boost::asio::ip::tcp::socket &socket);
 
-/// Reads once into @p buffer. Errors: those of the socket; eof at its end; no_buffer_space when the buffer is full.
+/// Reads once into @p buffer. Errors: those of the socket; eof at the end of the stream; no_buffer_space if the buffer
+/// is full.
 [[nodiscard]] boost::asio::awaitable<boost::system::error_code> readSome(boost::asio::ip::tcp::socket &socket,
                                                                          ReadBuffer &buffer);
 
-/// Writes all of @p data, which has to stay valid. Counts what was written into @p written also when it fails.
-/// What the socket takes at once is written without going through the event loop.
+/// Writes all of @p data, which has to stay valid until the write is done. Adds the number of written bytes to
+/// @p written, also if the write fails. Bytes that the socket accepts at once are written without going through the
+/// event loop.
 [[nodiscard]] boost::asio::awaitable<boost::system::error_code> writeAll(boost::asio::ip::tcp::socket &socket,
                                                                          std::string_view data, std::size_t &written);
 
-/// What a socket shows without reading from it.
+/// The state of a socket, determined without consuming bytes.
 enum class SocketState : std::uint8_t {
-    Quiet,
-    /// Bytes wait to be read.
+    /// Open, with nothing to read.
+    Idle,
+    /// There are bytes to read.
     Readable,
-    /// The other side closed, or the connection broke.
+    /// The other side closed the connection, or the connection failed.
     Closed,
 };
 [[nodiscard]] SocketState peekState(boost::asio::ip::tcp::socket &socket);
 
-/// Closes with a reset instead of an orderly end.
+/// Closes @p socket with a reset instead of an orderly close.
 void resetSocket(boost::asio::ip::tcp::socket &socket);
-/// Closes. Awaited operations end with operation_aborted.
+/// Closes @p socket. Awaited operations fail with operation_aborted.
 void closeSocket(boost::asio::ip::tcp::socket &socket);
 
 }
--- a/src/http/sockettimer.cpp
+++ b/src/http/sockettimer.cpp
@@ -10,29 +10,29 @@
 struct SocketTimer::State
 {
     boost::asio::steady_timer timer;
-    std::function<void()> expired;
-    TimePoint limit = TimePoint::max();
-    /// When the pending wait ends; max() when none is pending.
-    TimePoint armed = TimePoint::max();
+    std::function<void()> onExpired;
+    TimePoint deadline = TimePoint::max();
+    /// When the pending wait ends; max() if no wait is pending.
+    TimePoint waitEnd = TimePoint::max();
     std::uint64_t generation = 0;
 };
 
-SocketTimer::SocketTimer(const boost::asio::any_io_executor &executor, std::function<void()> expired)
-    : state_(new State{boost::asio::steady_timer(executor), std::move(expired)})
+SocketTimer::SocketTimer(const boost::asio::any_io_executor &executor, std::function<void()> onExpired)
+    : state_(new State{boost::asio::steady_timer(executor), std::move(onExpired)})
 {
 }
 
 SocketTimer::~SocketTimer()
 {
-    state_->expired = nullptr;
+    state_->onExpired = nullptr;
     state_->timer.cancel();
 }
 
 void SocketTimer::expireAt(TimePoint time)
 {
-    state_->limit = time;
-    if (time < state_->armed) {
-        wait(state_);
+    state_->deadline = time;
+    if (time < state_->waitEnd) {
+        startWait(state_);
     }
 }
 
@@ -43,30 +43,30 @@
 
 void SocketTimer::disarm()
 {
-    state_->limit = TimePoint::max();
+    state_->deadline = TimePoint::max();
 }
 
-void SocketTimer::wait(const std::shared_ptr<State> &state)
+void SocketTimer::startWait(const std::shared_ptr<State> &state)
 {
-    state->armed = state->limit;
+    state->waitEnd = state->deadline;
     const std::uint64_t generation = ++state->generation;
-    state->timer.expires_at(state->limit);
+    state->timer.expires_at(state->deadline);
     state->timer.async_wait([state, generation](boost::system::error_code) {
-        // A wait that was replaced may still end normally when both times passed at once.
-        if (generation != state->generation || !state->expired) {
+        // A wait that was replaced may still complete normally if it had already expired.
+        if (generation != state->generation || !state->onExpired) {
             return;
         }
-        state->armed = TimePoint::max();
-        if (state->limit == TimePoint::max()) {
+        state->waitEnd = TimePoint::max();
+        if (state->deadline == TimePoint::max()) {
             return;
         }
-        if (state->limit > std::chrono::steady_clock::now()) {
-            wait(state);
+        if (state->deadline > std::chrono::steady_clock::now()) {
+            startWait(state);
             return;
         }
-        state->limit = TimePoint::max();
-        const auto expired = state->expired; // The call may destroy the timer and with it the stored function.
-        expired();
+        state->deadline = TimePoint::max();
+        const auto onExpired = state->onExpired; // A copy, since the call may destroy this object and its function.
+        onExpired();
     });
 }
 
--- a/src/http/sockettimer.h
+++ b/src/http/sockettimer.h
@@ -10,27 +10,28 @@
 namespace Egretpath
 {
 
-/// Calls back when an operation on a socket took too long.
+/// A timeout for the operations on a socket: calls a function when the deadline passes.
 ///
-/// Setting a later time costs nothing: the armed timer finds out when it fires. That matters because every exchange
-/// moves its limit several times and almost never reaches it. Thread safety: none.
+/// Moving the deadline to a later time does not restart the underlying timer; the timer checks the deadline when it
+/// fires. This is cheap, which matters because every exchange moves its deadline several times and almost never reaches
+/// it. Thread safety: none.
 class SocketTimer
 {
 public:
-    SocketTimer(const boost::asio::any_io_executor &executor, std::function<void()> expired);
+    SocketTimer(const boost::asio::any_io_executor &executor, std::function<void()> onExpired);
     ~SocketTimer();
     SocketTimer(const SocketTimer &) = delete;
     SocketTimer &operator=(const SocketTimer &) = delete;
 
-    /// Calls back at @p time, once; replaces an earlier limit.
+    /// Calls the function once at @p time. Replaces the previous deadline.
     void expireAt(TimePoint time);
     void expireAfter(Duration duration);
-    /// No call back until the next expireAt().
+    /// Removes the deadline: the function is not called until the next expireAt() or expireAfter().
     void disarm();
 
 private:
     struct State;
-    static void wait(const std::shared_ptr<State> &state);
+    static void startWait(const std::shared_ptr<State> &state);
 
     std::shared_ptr<State> state_;
 };
--- a/src/http/tcpendpoint.cpp
+++ b/src/http/tcpendpoint.cpp
@@ -26,8 +26,8 @@
 
 std::string_view withoutBrackets(std::string_view host)
 {
-    const bool bracketed = host.size() > 2 && host.front() == '[' && host.back() == ']';
-    return bracketed ? host.substr(1, host.size() - 2) : host;
+    const bool hasBrackets = host.size() > 2 && host.front() == '[' && host.back() == ']';
+    return hasBrackets ? host.substr(1, host.size() - 2) : host;
 }
 
 }
@@ -51,8 +51,8 @@
 Endpoint toEndpoint(const boost::asio::ip::tcp::endpoint &endpoint)
 {
     const std::string host = endpoint.address().to_string();
-    const std::string shown = endpoint.address().is_v6() ? "[" + host + "]" : host;
-    return Endpoint(shown + ":" + std::to_string(endpoint.port()));
+    const std::string hostText = endpoint.address().is_v6() ? "[" + host + "]" : host;
+    return Endpoint(hostText + ":" + std::to_string(endpoint.port()));
 }
 
 }
--- a/tests/http/awaitedcheck.h
+++ b/tests/http/awaitedcheck.h
@@ -7,20 +7,20 @@
 namespace Egretpath
 {
 
-/// CHECK() for a value that was awaited. Catch2's macros name their expression twice, the second time where it never
-/// runs; g++ 12 runs a co_await there all the same, and the operation would happen again.
+/// CHECK() for an awaited value. Catch2's macros contain their expression twice, the second time in code that is never
+/// executed. g++ 12 executes a co_await there nevertheless, which would run the operation again.
 template<typename Value>
-void checkAwaited(const Value &value, boost::source_location where = BOOST_CURRENT_LOCATION)
+void checkAwaited(const Value &value, boost::source_location location = BOOST_CURRENT_LOCATION)
 {
-    INFO(where.file_name() << ":" << where.line());
+    INFO(location.file_name() << ":" << location.line());
     CHECK(static_cast<bool>(value));
 }
 
-/// As checkAwaited(), but ends the test when the value is false or an error.
+/// REQUIRE() for an awaited value: as checkAwaited(), but stops the test if the value is false or an error.
 template<typename Value>
-void requireAwaited(const Value &value, boost::source_location where = BOOST_CURRENT_LOCATION)
+void requireAwaited(const Value &value, boost::source_location location = BOOST_CURRENT_LOCATION)
 {
-    INFO(where.file_name() << ":" << where.line());
+    INFO(location.file_name() << ":" << location.line());
     REQUIRE(static_cast<bool>(value));
 }
 
--- a/tests/http/eventloop.cpp
+++ b/tests/http/eventloop.cpp
@@ -16,10 +16,10 @@
 void EventLoop::run(std::function<asio::awaitable<void>()> scenario)
 {
     constexpr std::chrono::seconds Limit{10};
-    bool ended = false;
+    bool finished = false;
     std::exception_ptr thrown;
     asio::co_spawn(context_, std::move(scenario), [&](std::exception_ptr error) {
-        ended = true;
+        finished = true;
         thrown = error;
         context_.stop();
     });
@@ -28,8 +28,8 @@
     if (thrown) {
         std::rethrow_exception(thrown);
     }
-    if (!ended) {
-        throw std::runtime_error("the scenario did not end");
+    if (!finished) {
+        throw std::runtime_error("the scenario did not finish");
     }
 }
 
@@ -39,7 +39,7 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-asio::awaitable<bool> EventLoop::until(std::function<bool()> condition)
+asio::awaitable<bool> EventLoop::waitUntil(std::function<bool()> condition)
 {
     constexpr int Attempts = 5000;
     for (int attempt = 0; attempt < Attempts; ++attempt) {
--- a/tests/http/eventloop.h
+++ b/tests/http/eventloop.h
@@ -10,17 +10,17 @@
 namespace Egretpath
 {
 
-/// Runs coroutines of a test on one thread and fails the test when they do not end.
+/// Runs the coroutines of a test on one thread and fails the test if they do not finish.
 class EventLoop
 {
 public:
     [[nodiscard]] boost::asio::any_io_executor executor() { return context_.get_executor(); }
-    /// Runs @p scenario to its end, together with all else on the executor. Throws what it throws.
+    /// Runs @p scenario and everything else on the executor until @p scenario finishes. Rethrows its exceptions.
     void run(std::function<boost::asio::awaitable<void>()> scenario);
     /// Resumes after @p duration.
     [[nodiscard]] boost::asio::awaitable<void> sleep(Duration duration);
-    /// Resumes when @p condition holds; gives up after some seconds.
-    [[nodiscard]] boost::asio::awaitable<bool> until(std::function<bool()> condition);
+    /// Resumes with true when @p condition holds, and with false if it does not hold after some seconds.
+    [[nodiscard]] boost::asio::awaitable<bool> waitUntil(std::function<bool()> condition);
 
 private:
     boost::asio::io_context context_{1};
--- a/tests/http/httpclienttest.cpp
+++ b/tests/http/httpclienttest.cpp
@@ -20,26 +20,26 @@
 namespace
 {
 
-TimePoint soon(Duration duration = std::chrono::seconds(10))
+TimePoint testDeadline(Duration duration = std::chrono::seconds(10))
 {
     return std::chrono::steady_clock::now() + duration;
 }
 
-enum class Ending { Orderly, Reset };
+enum class ConnectionEnd { Orderly, Reset };
 
-/// The outcome of a GET whose other side answers with @p answer and ends the connection.
-asio::awaitable<Result<std::string>> getFrom(EventLoop &loop, HttpConnectionPool &pool, std::string answer,
-                                             Ending ending = Ending::Orderly)
+/// The result of a GET request to a server that sends @p answer and closes the connection.
+asio::awaitable<Result<std::string>> getFromRawServer(EventLoop &loop, HttpConnectionPool &pool, std::string answer,
+                                                      ConnectionEnd connectionEnd = ConnectionEnd::Orderly)
 {
     RawListener listener(loop.executor());
-    auto opened = co_await pool.open(listener.endpoint(), soon());
+    auto opened = co_await pool.open(listener.endpoint(), testDeadline());
     REQUIRE(opened);
     HttpClientCall &call = *opened.value();
     requireAwaited(co_await call.sendRequest({}, {}));
     RawConnection server = co_await listener.accept();
     (void)co_await server.receiveUntil("\r\n\r\n");
     co_await server.send(std::move(answer));
-    if (ending == Ending::Reset) {
+    if (connectionEnd == ConnectionEnd::Reset) {
         co_await loop.sleep(Milliseconds(20));
         server.reset();
     } else {
@@ -52,13 +52,13 @@
     co_return co_await call.readCompleteBody(Bytes(1000));
 }
 
-std::optional<Failure> failureOf(const std::string &answer)
+std::optional<Failure> getFailure(const std::string &answer)
 {
     EventLoop loop;
     HttpConnectionPool pool(loop.executor(), {});
     std::optional<Failure> failure;
     loop.run([&]() -> asio::awaitable<void> {
-        auto result = co_await getFrom(loop, pool, answer);
+        auto result = co_await getFromRawServer(loop, pool, answer);
         if (!result) {
             failure = result.error();
         }
@@ -66,14 +66,14 @@
     return failure;
 }
 
-HttpServer::Handler answering(std::string body)
+HttpServer::Handler respondWith(std::string body)
 {
     return [body](HttpExchange &exchange) -> asio::awaitable<void> { (void)co_await exchange.respond({}, body); };
 }
 
 asio::awaitable<std::string> get(HttpConnectionPool &pool, Endpoint endpoint)
 {
-    auto opened = co_await pool.open(endpoint, soon());
+    auto opened = co_await pool.open(endpoint, testDeadline());
     REQUIRE(opened);
     requireAwaited(co_await opened.value()->sendRequest({}, {}));
     requireAwaited(co_await opened.value()->readHead());
@@ -84,9 +84,9 @@
 
 }
 
-// A back end breaks while it answers. Whatever the break looks like on the wire, the answer is not whole, and since
-// the request left this process it may have run.
-TEST_CASE("a broken response is BadAnswer and may have run")
+// A server fails while it answers, so its response is truncated or malformed. The client must not treat the response as
+// complete. Since the request was sent, it may have run.
+TEST_CASE("a truncated or malformed response fails with BadAnswer and MayHaveRun")
 {
     const std::string ok = "HTTP/1.1 200 OK\r\n";
     for (const std::string &answer : {
@@ -101,102 +101,103 @@
              std::string("nonsense\r\n\r\n"),
          }) {
         INFO(answer);
-        const auto failure = failureOf(answer);
+        const auto failure = getFailure(answer);
         REQUIRE(failure);
         CHECK(failure->verdict == Verdict::MayHaveRun);
         CHECK(failure->reason == Reason::BadAnswer);
     }
 }
 
-// An upstream sends its answer without a length and marks its end by closing. When it crashes midway its connection is
-// reset instead, and the caller must not take the part for the whole.
-TEST_CASE("an answer without a length is whole at an orderly end, and broken by a reset")
+// An upstream sends its answer without a length and marks the end by closing the connection. If it crashes midway, the
+// connection is reset instead, and the caller must not treat the partial answer as complete.
+TEST_CASE("an answer without a length is complete after an orderly close and fails after a reset")
 {
     EventLoop loop;
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
         const std::string answer = "HTTP/1.1 200 OK\r\n\r\nuntil the end";
-        auto whole = co_await getFrom(loop, pool, answer);
-        REQUIRE(whole);
-        CHECK(whole.value() == "until the end");
-        auto broken = co_await getFrom(loop, pool, answer, Ending::Reset);
+        auto complete = co_await getFromRawServer(loop, pool, answer);
+        REQUIRE(complete);
+        CHECK(complete.value() == "until the end");
+        auto broken = co_await getFromRawServer(loop, pool, answer, ConnectionEnd::Reset);
         REQUIRE(!broken);
         CHECK(broken.error().verdict == Verdict::MayHaveRun);
     });
     CHECK(pool.idleCount() == 0);
 }
 
-TEST_CASE("a connection that ends before the response is lost, and the request may have run")
+TEST_CASE("a connection that closes before the response head fails with ConnectionLost and MayHaveRun")
 {
     for (const std::string &answer :
          {std::string(), std::string("HTTP/1.1 200"), std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n")}) {
         INFO(answer);
-        const auto failure = failureOf(answer);
+        const auto failure = getFailure(answer);
         REQUIRE(failure);
         CHECK(failure->verdict == Verdict::MayHaveRun);
         CHECK(failure->reason == Reason::ConnectionLost);
     }
 }
 
-TEST_CASE("whole responses are read, informational ones skipped")
+TEST_CASE("complete responses are read and informational responses are skipped")
 {
     EventLoop loop;
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
-        const std::string informed = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
-        auto whole = co_await getFrom(loop, pool, informed + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n12345");
-        REQUIRE(whole);
-        CHECK(whole.value() == "12345");
-        whole = co_await getFrom(
+        const std::string informational = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
+        auto complete =
+            co_await getFromRawServer(loop, pool, informational + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n12345");
+        REQUIRE(complete);
+        CHECK(complete.value() == "12345");
+        complete = co_await getFromRawServer(
             loop, pool,
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n12\r\n3\r\n345\r\n0\r\nT: t\r\n\r\n");
-        REQUIRE(whole);
-        CHECK(whole.value() == "12345");
-        whole = co_await getFrom(loop, pool, "HTTP/1.1 204 No Content\r\n\r\n");
-        REQUIRE(whole);
-        CHECK(whole.value().empty());
+        REQUIRE(complete);
+        CHECK(complete.value() == "12345");
+        complete = co_await getFromRawServer(loop, pool, "HTTP/1.1 204 No Content\r\n\r\n");
+        REQUIRE(complete);
+        CHECK(complete.value().empty());
     });
 }
 
-TEST_CASE("a changed connection cap holds for the next call")
+TEST_CASE("a changed connection limit applies to the next call")
 {
     EventLoop loop;
     HttpConnectionPool pool(loop.executor(), HttpPoolLimits());
     loop.run([&]() -> asio::awaitable<void> {
         RawListener listener(loop.executor());
-        auto first = co_await pool.open(listener.endpoint(), soon());
+        auto first = co_await pool.open(listener.endpoint(), testDeadline());
         REQUIRE(first);
         pool.setConnectionCap(1);
-        auto second = co_await pool.open(listener.endpoint(), soon());
+        auto second = co_await pool.open(listener.endpoint(), testDeadline());
         REQUIRE_FALSE(second);
         CHECK(second.error().reason == Reason::BudgetSpent);
         pool.setConnectionCap(2);
-        auto third = co_await pool.open(listener.endpoint(), soon());
+        auto third = co_await pool.open(listener.endpoint(), testDeadline());
         CHECK(third);
     });
 }
 
-TEST_CASE("what fails before the first byte did not run")
+TEST_CASE("a call that fails before its first byte has the verdict NotRun")
 {
     EventLoop loop;
     HttpPoolLimits limits;
     limits.connectionsPerEndpoint = 1;
     HttpConnectionPool pool(loop.executor(), limits);
     loop.run([&]() -> asio::awaitable<void> {
-        Endpoint closed;
+        Endpoint closedEndpoint;
         {
             RawListener listener(loop.executor());
-            closed = listener.endpoint();
+            closedEndpoint = listener.endpoint();
         }
-        auto refused = co_await pool.open(closed, soon());
+        auto refused = co_await pool.open(closedEndpoint, testDeadline());
         REQUIRE_FALSE(refused);
         CHECK(refused.error().verdict == Verdict::NotRun);
         CHECK(refused.error().reason == Reason::ConnectFailed);
 
         RawListener listener(loop.executor());
-        auto opened = co_await pool.open(listener.endpoint(), soon());
+        auto opened = co_await pool.open(listener.endpoint(), testDeadline());
         REQUIRE(opened);
-        auto overLimit = co_await pool.open(listener.endpoint(), soon());
+        auto overLimit = co_await pool.open(listener.endpoint(), testDeadline());
         REQUIRE_FALSE(overLimit);
         CHECK(overLimit.error().verdict == Verdict::NotRun);
         CHECK(overLimit.error().reason == Reason::BudgetSpent);
@@ -215,13 +216,13 @@
     });
 }
 
-TEST_CASE("a silent server ends in DeadlinePassed and may have run, a cancelled call in Cancelled")
+TEST_CASE("a call to a server that sends no response fails with DeadlinePassed and MayHaveRun")
 {
     EventLoop loop;
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
         RawListener listener(loop.executor());
-        auto opened = co_await pool.open(listener.endpoint(), soon(Milliseconds(200)));
+        auto opened = co_await pool.open(listener.endpoint(), testDeadline(Milliseconds(200)));
         REQUIRE(opened);
         requireAwaited(co_await opened.value()->sendRequest({}, {}));
         auto head = co_await opened.value()->readHead();
@@ -231,15 +232,15 @@
     });
 }
 
-// The process is paused after it connected, longer than the call's deadline. Its caller was told that the call did not
-// run. When the process wakes up, its next step is the write, before the overdue timer is looked at.
-TEST_CASE("no first byte leaves after the deadline, even before the timer fires")
+// The process is paused after it connected, until after the call's deadline. The caller got the verdict NotRun. When
+// the process resumes, the write runs before the overdue timer fires, and must not send the request.
+TEST_CASE("no first byte is sent after the deadline, even before the timer fires")
 {
     EventLoop loop;
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
         RawListener listener(loop.executor());
-        auto opened = co_await pool.open(listener.endpoint(), soon(Milliseconds(200)));
+        auto opened = co_await pool.open(listener.endpoint(), testDeadline(Milliseconds(200)));
         REQUIRE(opened);
         std::this_thread::sleep_for(Milliseconds(210));
         const auto sent = co_await opened.value()->sendRequest({}, {});
@@ -251,31 +252,31 @@
     });
 }
 
-// The server closes an idle connection while it lies in the pool. Used again, the request would be lost and could only
-// be reported as "may have run", although nothing is wrong with the server.
-TEST_CASE("a pooled connection that the server closed is found out before use")
+// The server closes an idle connection while it is in the pool. A request sent on it would be lost and would have to be
+// reported as MayHaveRun, although the server is healthy.
+TEST_CASE("a pooled connection that the server closed is detected before it is reused")
 {
     EventLoop loop;
     HttpLimits limits;
     limits.idleTime = Milliseconds(300);
-    HttpServer server(loop.executor(), limits, answering("again"));
+    HttpServer server(loop.executor(), limits, respondWith("again"));
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
         checkAwaited(co_await get(pool, endpoint) == "again");
         checkAwaited(co_await get(pool, endpoint) == "again");
         CHECK(pool.counts().opened == 1);
-        checkAwaited(co_await loop.until([&] { return server.connectionCount() == 0; }));
+        checkAwaited(co_await loop.waitUntil([&] { return server.connectionCount() == 0; }));
         checkAwaited(co_await get(pool, endpoint) == "again");
-        CHECK(pool.counts().foundClosed == 1);
+        CHECK(pool.counts().closedByServer == 1);
         CHECK(pool.counts().opened == 2);
     });
 }
 
-TEST_CASE("a fresh connection can be insisted on, and idle ones make room and grow old")
+TEST_CASE("a call can demand a fresh connection, and idle connections are closed at the limit and after the idle time")
 {
     EventLoop loop;
-    HttpServer server(loop.executor(), {}, answering("x"));
+    HttpServer server(loop.executor(), {}, respondWith("x"));
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     const Endpoint other = server.listen(Endpoint("127.0.0.1:0")).value();
     HttpPoolLimits limits;
@@ -285,29 +286,29 @@
     loop.run([&]() -> asio::awaitable<void> {
         checkAwaited(co_await get(pool, endpoint) == "x");
         {
-            auto fresh = co_await pool.open(endpoint, soon(), HttpConnectionChoice::Fresh);
+            auto fresh = co_await pool.open(endpoint, testDeadline(), HttpConnectionChoice::Fresh);
             REQUIRE(fresh);
             CHECK_FALSE(fresh.value()->reused());
         }
         checkAwaited(co_await get(pool, other) == "x");
         CHECK(pool.connectionCount(endpoint) == 0);
         CHECK(pool.idleCount() == 1);
-        checkAwaited(co_await loop.until([&] { return pool.connectionCount() == 0; }));
+        checkAwaited(co_await loop.waitUntil([&] { return pool.connectionCount() == 0; }));
     });
 }
 
-// A server refuses an upload at once and closes its side. The caller is still writing; the refusal is what it has to
-// see, not a broken pipe.
+// A server refuses an upload at once and closes its side while the caller is still writing. The caller must get the
+// refusal instead of a write error.
 TEST_CASE("an early refusal is read although the upload could not be finished")
 {
     EventLoop loop;
     HttpLimits limits;
     limits.bodyBytes = 1000;
-    HttpServer server(loop.executor(), limits, answering("never"));
+    HttpServer server(loop.executor(), limits, respondWith("never"));
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
-        auto opened = co_await pool.open(endpoint, soon());
+        auto opened = co_await pool.open(endpoint, testDeadline());
         REQUIRE(opened);
         HttpRequestHead head;
         head.method = "POST";
@@ -318,9 +319,9 @@
     });
 }
 
-// Two calls of one caller share connections. Each answer has to be the one to its own request, also when earlier ones
-// are abandoned half way.
-TEST_CASE("an abandoned answer never shows up as the answer to the next request")
+// Two calls of one caller share a connection, and the first abandons its answer half way. If the rest of that answer
+// stayed on the connection, the second call would get it as its own answer.
+TEST_CASE("an abandoned answer is never returned as the answer to the next request")
 {
     EventLoop loop;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
@@ -331,7 +332,7 @@
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
         for (int turn = 0; turn < 20; ++turn) {
-            auto opened = co_await pool.open(endpoint, soon());
+            auto opened = co_await pool.open(endpoint, testDeadline());
             REQUIRE(opened);
             HttpRequestHead head;
             head.target = "/" + std::to_string(turn);
--- a/tests/http/httpheaderstest.cpp
+++ b/tests/http/httpheaderstest.cpp
@@ -6,7 +6,7 @@
 
 using namespace Egretpath;
 
-TEST_CASE("header names compare without regard to case and keep their order")
+TEST_CASE("header names compare case-insensitively and fields keep their order")
 {
     HttpHeaders headers{{"Accept", "a"}, {"X-One", "1"}, {"accept", "b"}};
     CHECK(headers.find("ACCEPT") == "a");
@@ -17,7 +17,7 @@
     CHECK_FALSE(headers.contains("Absent"));
 }
 
-TEST_CASE("fields that concern one connection are removed, also those that Connection names")
+TEST_CASE("hop-by-hop fields and the fields that Connection lists are removed")
 {
     HttpHeaders headers{{"Connection", "close, X-Secret"}, {"X-Secret", "1"}, {"TE", "trailers"}, {"Keep", "2"}};
     headers.removeHopByHop();
@@ -25,7 +25,7 @@
     CHECK(headers.contains("Keep"));
 }
 
-TEST_CASE("an endpoint survives its text form, and names of hosts are refused")
+TEST_CASE("an endpoint converts to text and back, and host names are refused")
 {
     for (const char *text : {"127.0.0.1:8080", "[::1]:80"}) {
         const auto address = toTcpEndpoint(Endpoint(text));
--- a/tests/http/httpservertest.cpp
+++ b/tests/http/httpservertest.cpp
@@ -19,7 +19,7 @@
 
 const std::string Get = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// A server that echoes the target and the body of every request, and counts the requests that reach its handler.
+/// A server that echoes the target and body of every request and counts the requests that reach its handler.
 struct EchoServer
 {
     EchoServer(EventLoop &loop, HttpLimits limits)
@@ -52,7 +52,7 @@
     Endpoint endpoint;
 };
 
-std::string answerTo(EventLoop &loop, const EchoServer &echo, std::string request)
+std::string sendAndReceive(EventLoop &loop, const EchoServer &echo, std::string request)
 {
     std::string answer;
     loop.run([&]() -> asio::awaitable<void> {
@@ -64,7 +64,7 @@
     return answer;
 }
 
-int countOf(const std::string &text, const std::string &part)
+int countOccurrences(const std::string &text, const std::string &part)
 {
     int count = 0;
     for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + part.size())) {
@@ -75,28 +75,28 @@
 
 }
 
-TEST_CASE("one connection serves requests in turn, also when they arrive together")
+TEST_CASE("one connection serves several requests that arrive together")
 {
     EventLoop loop;
     EchoServer echo(loop, {});
     const std::string last = "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nConnection: close\r\n\r\nxyz";
-    const std::string answer = answerTo(loop, echo, Get + Get + last);
-    CHECK(countOf(answer, "HTTP/1.1 200 OK") == 3);
+    const std::string answer = sendAndReceive(loop, echo, Get + Get + last);
+    CHECK(countOccurrences(answer, "HTTP/1.1 200 OK") == 3);
     CHECK(answer.ends_with("/bxyz"));
     CHECK(echo.handled == 3);
     CHECK(echo.server.counts().acceptedConnections == 1);
 }
 
-// A page sends three reads at once on one connection. The first one meets a slow upstream; the other two, which are
-// ready at once, waited for it as well and were late, because the server began them only after the first answer.
-TEST_CASE("requests sent ahead run beside each other, and their answers keep the order")
+// A page sends three reads at once on one connection, and the upstream of the first is slow. A server that starts the
+// other two only after the first answer delays them as well, although their answers are ready at once.
+TEST_CASE("pipelined requests run concurrently and their answers keep the order of the requests")
 {
     EventLoop loop;
-    int begun = 0;
+    int started = 0;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
-        ++begun;
+        ++started;
         if (exchange.head().target == "/slow") {
-            checkAwaited(co_await loop.until([&] { return begun == 3; }));
+            checkAwaited(co_await loop.waitUntil([&] { return started == 3; }));
             co_await loop.sleep(Milliseconds(20));
         }
         (void)co_await exchange.respond({}, exchange.head().target);
@@ -110,20 +110,20 @@
                              "GET /c HTTP/1.1\r\nHost: h\r\n\r\n");
         answers = co_await caller.receiveUntil("/c");
     });
-    CHECK(begun == 3);
+    CHECK(started == 3);
     CHECK(answers.find("/slow") < answers.find("/b"));
     CHECK(answers.find("/b") < answers.find("/c"));
 }
 
-// A caller sends two requests ahead and leaves. The first is still at work, so the second hid the end of the
-// connection: the upstream worked on for nobody.
-TEST_CASE("a caller that leaves is noticed by all requests that it sent ahead")
+// A caller pipelines two requests and disconnects while the first still runs. If the buffered second request hid the
+// end of the connection, the upstream would continue work that nobody waits for.
+TEST_CASE("all pipelined requests detect that their caller disconnected")
 {
     EventLoop loop;
-    int told = 0;
+    int disconnects = 0;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
-        exchange.onCallerDisconnected([&] { ++told; });
-        checkAwaited(co_await loop.until([&] { return told == 2; }));
+        exchange.onCallerDisconnected([&] { ++disconnects; });
+        checkAwaited(co_await loop.waitUntil([&] { return disconnects == 2; }));
     });
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     loop.run([&]() -> asio::awaitable<void> {
@@ -131,19 +131,19 @@
         co_await caller.connect(endpoint);
         co_await caller.send(Get + Get);
         co_await loop.sleep(Milliseconds(20));
-        CHECK(told == 0);
+        CHECK(disconnects == 0);
         caller.close();
-        checkAwaited(co_await loop.until([&] { return server.connectionCount() == 0; }));
+        checkAwaited(co_await loop.waitUntil([&] { return server.connectionCount() == 0; }));
     });
-    CHECK(told == 2);
+    CHECK(disconnects == 2);
 }
 
-// An answer that ends its connection makes the caller send again what it sent behind. A payment that had begun behind
-// it would run twice.
-TEST_CASE("a request that waits for its turn does not begin behind an answer that ends the connection")
+// When an answer closes its connection, the caller sends the pipelined requests after it again. A payment among them
+// that had already started would run twice.
+TEST_CASE("a request that waits for its turn does not start after an answer that closes the connection")
 {
     EventLoop loop;
-    int begun = 0;
+    int started = 0;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
         if (exchange.head().target == "/fails") {
             co_await loop.sleep(Milliseconds(20));
@@ -151,7 +151,7 @@
             co_return;
         }
         co_await exchange.waitForTurn();
-        begun += exchange.callerDisconnected() ? 0 : 1;
+        started += exchange.callerDisconnected() ? 0 : 1;
     });
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     loop.run([&]() -> asio::awaitable<void> {
@@ -159,15 +159,15 @@
         co_await caller.connect(endpoint);
         co_await caller.send("GET /fails HTTP/1.1\r\nHost: h\r\n\r\nPOST /pay HTTP/1.1\r\nHost: h\r\n"
                              "Content-Length: 0\r\n\r\n");
-        checkAwaited(co_await loop.until([&] { return server.counts().requests == 2; }));
-        checkAwaited(co_await loop.until([&] { return server.connectionCount() == 0; }));
+        checkAwaited(co_await loop.waitUntil([&] { return server.counts().requests == 2; }));
+        checkAwaited(co_await loop.waitUntil([&] { return server.connectionCount() == 0; }));
     });
-    CHECK(begun == 0);
+    CHECK(started == 0);
 }
 
-// Two programs on the path of a request read its length differently. The caller hides a second request in the first
-// one's body; the upstream runs it as another caller's. Such requests must end here.
-TEST_CASE("ambiguous requests are answered 400, closed, and never reach the handler")
+// Request smuggling: two programs on the path of a request determine its length differently. A caller hides a second
+// request in the body of the first, and the upstream runs it as a request of another caller.
+TEST_CASE("ambiguous requests are answered 400, the connection closes, and they never reach the handler")
 {
     const std::string start = "POST /a HTTP/1.1\r\nHost: h\r\n";
     const std::vector<std::string> requests{
@@ -207,23 +207,24 @@
         INFO(request);
         EventLoop loop;
         EchoServer echo(loop, {});
-        const std::string answer = answerTo(loop, echo, request + Get);
+        const std::string answer = sendAndReceive(loop, echo, request + Get);
         CHECK(answer.starts_with("HTTP/1.1 400 "));
-        CHECK(countOf(answer, "HTTP/1.1") == 1);
+        CHECK(countOccurrences(answer, "HTTP/1.1") == 1);
         CHECK(echo.handled == 0);
         CHECK(echo.server.counts().refusedRequests == 1);
     }
 }
 
-TEST_CASE("a version other than HTTP/1.1 is refused: its callers can't tell a truncated chunked answer")
+// Callers of older HTTP versions can't detect that a chunked answer was truncated.
+TEST_CASE("a version other than HTTP/1.1 is refused")
 {
     EventLoop loop;
     EchoServer echo(loop, {});
-    CHECK(answerTo(loop, echo, "GET /a HTTP/1.0\r\nHost: h\r\n\r\n").starts_with("HTTP/1.1 505 "));
+    CHECK(sendAndReceive(loop, echo, "GET /a HTTP/1.0\r\nHost: h\r\n\r\n").starts_with("HTTP/1.1 505 "));
     CHECK(echo.handled == 0);
 }
 
-TEST_CASE("bad chunking ends the exchange")
+TEST_CASE("a request with bad chunking gets at most one answer, which is not 200")
 {
     const std::string start = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (const std::string body : {"zz\r\nab\r\n", "2\r\nabc\r\n0\r\n\r\n", "-2\r\nab\r\n", "2\nab\r\n",
@@ -234,13 +235,13 @@
         std::string request = start;
         request += body;
         request += Get;
-        const std::string answer = answerTo(loop, echo, request);
+        const std::string answer = sendAndReceive(loop, echo, request);
         CHECK_FALSE(answer.starts_with("HTTP/1.1 200"));
-        CHECK(countOf(answer, "HTTP/1.1") <= 1);
+        CHECK(countOccurrences(answer, "HTTP/1.1") <= 1);
     }
 }
 
-TEST_CASE("limits of the listener answer with their own status")
+TEST_CASE("each exceeded size limit is answered with its own status")
 {
     EventLoop loop;
     HttpLimits limits;
@@ -254,38 +255,38 @@
     for (int field = 0; field < 100; ++field) {
         manyFields += "X-Field: 0123456789\r\n";
     }
-    CHECK(answerTo(loop, echo, manyFields + "\r\n").starts_with("HTTP/1.1 431 "));
-    CHECK(answerTo(loop, echo, start + "X: " + std::string(2000, 'x') + "\r\n\r\n").starts_with("HTTP/1.1 431 "));
-    const std::string tooLarge = answerTo(loop, echo, start + "Content-Length: 11\r\n\r\n01234567890");
+    CHECK(sendAndReceive(loop, echo, manyFields + "\r\n").starts_with("HTTP/1.1 431 "));
+    CHECK(sendAndReceive(loop, echo, start + "X: " + std::string(2000, 'x') + "\r\n\r\n").starts_with("HTTP/1.1 431 "));
+    const std::string tooLarge = sendAndReceive(loop, echo, start + "Content-Length: 11\r\n\r\n01234567890");
     CHECK(tooLarge.starts_with("HTTP/1.1 413 "));
-    CHECK(countOf(tooLarge, "X-Refused: yes") == 1);
+    CHECK(countOccurrences(tooLarge, "X-Refused: yes") == 1);
     CHECK(echo.handled == 0);
 
     const std::string chunked = start + "Transfer-Encoding: chunked\r\n\r\n6\r\n012345\r\n";
-    CHECK(answerTo(loop, echo, chunked + "6\r\n012345\r\n").starts_with("HTTP/1.1 413 "));
+    CHECK(sendAndReceive(loop, echo, chunked + "6\r\n012345\r\n").starts_with("HTTP/1.1 413 "));
     CHECK(echo.handled == 0);
     loop.run([&]() -> asio::awaitable<void> {
         RawConnection caller(loop.executor());
         co_await caller.connect(echo.endpoint);
         co_await caller.send(chunked);
-        checkAwaited(co_await loop.until([&] { return echo.handled == 1; }));
+        checkAwaited(co_await loop.waitUntil([&] { return echo.handled == 1; }));
         co_await caller.send("6\r\n012345\r\n0\r\n\r\n");
         checkAwaited((co_await caller.receiveAll()).starts_with("HTTP/1.1 500 "));
     });
     CHECK(echo.failures == std::vector<Reason>{Reason::TooLarge});
 }
 
-TEST_CASE("a head that does not end in time is answered 408")
+TEST_CASE("a head that is not complete in time is answered 408")
 {
     EventLoop loop;
     HttpLimits limits;
     limits.headerReadTime = Milliseconds(50);
     EchoServer echo(loop, limits);
-    CHECK(answerTo(loop, echo, "GET /slow").starts_with("HTTP/1.1 408 "));
+    CHECK(sendAndReceive(loop, echo, "GET /slow").starts_with("HTTP/1.1 408 "));
     CHECK(echo.handled == 0);
 }
 
-TEST_CASE("a head within its limit is taken when it arrives byte by byte together with small chunks")
+TEST_CASE("a head within its limit is accepted together with many small chunks, and byte by byte")
 {
     EventLoop loop;
     HttpLimits limits;
@@ -296,7 +297,7 @@
         body += "1\r\nx\r\n";
     }
     const std::string head = "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
-    CHECK(answerTo(loop, echo, head + body + "0\r\n\r\n").ends_with(std::string(300, 'x')));
+    CHECK(sendAndReceive(loop, echo, head + body + "0\r\n\r\n").ends_with(std::string(300, 'x')));
     loop.run([&]() -> asio::awaitable<void> {
         RawConnection caller(loop.executor());
         co_await caller.connect(echo.endpoint);
@@ -308,7 +309,7 @@
     });
 }
 
-TEST_CASE("connections beyond the limit are answered 503, idle ones are closed in time")
+TEST_CASE("connections beyond the limit are answered 503, and idle connections are closed after the idle time")
 {
     EventLoop loop;
     HttpLimits limits;
@@ -318,7 +319,7 @@
     loop.run([&]() -> asio::awaitable<void> {
         RawConnection first(loop.executor());
         co_await first.connect(echo.endpoint);
-        checkAwaited(co_await loop.until([&] { return echo.server.connectionCount() == 1; }));
+        checkAwaited(co_await loop.waitUntil([&] { return echo.server.connectionCount() == 1; }));
         RawConnection second(loop.executor());
         co_await second.connect(echo.endpoint);
         checkAwaited((co_await second.receiveAll()).starts_with("HTTP/1.1 503 "));
@@ -327,7 +328,7 @@
     CHECK(echo.server.counts().refusedConnections == 1);
 }
 
-TEST_CASE("a caller that waits for 100-continue is told to go on")
+TEST_CASE("a caller that expects 100-continue gets 100 Continue")
 {
     EventLoop loop;
     EchoServer echo(loop, {});
@@ -341,19 +342,19 @@
     });
 }
 
-// An accountant's browser gives up and closes. The upstream goes on working for nobody, and takes a slot from those
-// who still wait, unless the closed connection is noticed while the handler works.
-TEST_CASE("a caller that leaves while the handler works is noticed")
+// A browser closes its connection before the answer. If the server doesn't detect this while the handler runs, the
+// upstream continues work that nobody waits for and occupies a slot that waiting callers need.
+TEST_CASE("a caller that disconnects while the handler runs is detected")
 {
     EventLoop loop;
-    bool told = false;
-    Reason seen = Reason::None;
+    bool isDisconnected = false;
+    Reason respondReason = Reason::None;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
-        exchange.onCallerDisconnected([&] { told = true; });
-        checkAwaited(co_await loop.until([&] { return told; }));
+        exchange.onCallerDisconnected([&] { isDisconnected = true; });
+        checkAwaited(co_await loop.waitUntil([&] { return isDisconnected; }));
         CHECK(exchange.callerDisconnected());
         const auto sent = co_await exchange.respond({}, "late");
-        seen = sent ? Reason::None : sent.error().reason;
+        respondReason = sent ? Reason::None : sent.error().reason;
     });
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     loop.run([&]() -> asio::awaitable<void> {
@@ -361,15 +362,15 @@
         co_await caller.connect(endpoint);
         co_await caller.send(Get);
         co_await loop.sleep(Milliseconds(20));
-        CHECK_FALSE(told);
+        CHECK_FALSE(isDisconnected);
         caller.close();
-        checkAwaited(co_await loop.until([&] { return seen != Reason::None; }));
-        checkAwaited(co_await loop.until([&] { return server.connectionCount() == 0; }));
+        checkAwaited(co_await loop.waitUntil([&] { return respondReason != Reason::None; }));
+        checkAwaited(co_await loop.waitUntil([&] { return server.connectionCount() == 0; }));
     });
-    CHECK(seen == Reason::Cancelled);
+    CHECK(respondReason == Reason::Cancelled);
 }
 
-TEST_CASE("a handler that fails or returns without a response gives a 500")
+TEST_CASE("a handler that throws or returns without a response is answered 500")
 {
     EventLoop loop;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
@@ -389,7 +390,7 @@
     });
 }
 
-TEST_CASE("responses without a body keep the connection in step")
+TEST_CASE("a connection stays usable after responses without a body")
 {
     EventLoop loop;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
@@ -408,14 +409,14 @@
         CHECK(empty.starts_with("HTTP/1.1 204 "));
         CHECK(empty.find("Content-Length") == std::string::npos);
         co_await caller.send(Get);
-        const std::string whole = co_await caller.receiveUntil("content");
-        CHECK(whole.starts_with("HTTP/1.1 200 "));
+        const std::string response = co_await caller.receiveUntil("content");
+        CHECK(response.starts_with("HTTP/1.1 200 "));
     });
 }
 
-// The handler refuses an upload without reading it. What is left of the upload must neither be taken for the next
-// request nor destroy the answer on its way.
-TEST_CASE("an answer given before the body was read arrives, and the connection ends")
+// The handler refuses an upload without reading it. The rest of the upload must not be parsed as the next request, and
+// must not cause a reset that destroys the answer on its way.
+TEST_CASE("an answer sent before the body was read arrives, and the connection closes")
 {
     EventLoop loop;
     int handled = 0;
@@ -432,12 +433,12 @@
         const std::string answer = co_await caller.receiveAll();
         CHECK(answer.starts_with("HTTP/1.1 503 "));
         CHECK(answer.find("Connection: close") != std::string::npos);
-        CHECK(countOf(answer, "HTTP/1.1") == 1);
+        CHECK(countOccurrences(answer, "HTTP/1.1") == 1);
     });
     CHECK(handled == 1);
 }
 
-TEST_CASE("text from outside can't add header fields to a response")
+TEST_CASE("untrusted text can't add header fields to a response")
 {
     EventLoop loop;
     bool refused = false;
@@ -459,9 +460,9 @@
     CHECK(refused);
 }
 
-// A planned stop during business hours: one caller waits for its answer, another's request is on its way over an idle
-// connection. Both must get whole answers, and then the process can end.
-TEST_CASE("a graceful stop finishes what is in flight and closes idle connections")
+// A planned stop under load: one caller waits for its answer, and the request of another is on its way on an idle
+// connection. Both must get complete answers before the process exits.
+TEST_CASE("a graceful stop finishes the exchanges in flight and closes idle connections")
 {
     EventLoop loop;
     bool release = false;
@@ -469,7 +470,7 @@
     limits.closeGrace = std::chrono::seconds(1);
     HttpServer server(loop.executor(), limits, [&](HttpExchange &exchange) -> asio::awaitable<void> {
         if (exchange.head().target == "/wait") {
-            co_await loop.until([&] { return release; });
+            co_await loop.waitUntil([&] { return release; });
         }
         (void)co_await exchange.respond({}, "whole");
     });
@@ -484,7 +485,7 @@
         (void)co_await idle.receiveUntil("whole");
         co_await busy.connect(endpoint);
         co_await busy.send("GET /wait HTTP/1.1\r\nHost: h\r\n\r\n");
-        checkAwaited(co_await loop.until([&] { return server.counts().requests == 2; }));
+        checkAwaited(co_await loop.waitUntil([&] { return server.counts().requests == 2; }));
 
         RawConnection inBacklog(loop.executor());
         co_await inBacklog.connect(endpoint);
@@ -492,9 +493,9 @@
         co_await inBacklog.send(Get);
         checkAwaited((co_await inBacklog.receiveAll()).ends_with("whole"));
         co_await idle.send(Get);
-        const std::string onItsWay = co_await idle.receiveAll();
-        CHECK(onItsWay.ends_with("whole"));
-        CHECK(onItsWay.find("Connection: close") != std::string::npos);
+        const std::string idleAnswer = co_await idle.receiveAll();
+        CHECK(idleAnswer.ends_with("whole"));
+        CHECK(idleAnswer.find("Connection: close") != std::string::npos);
         release = true;
         checkAwaited((co_await busy.receiveAll()).ends_with("whole"));
         checkAwaited((co_await unused.receiveAll()).empty());
--- a/tests/http/httpstreamingtest.cpp
+++ b/tests/http/httpstreamingtest.cpp
@@ -15,11 +15,11 @@
 namespace
 {
 
-constexpr std::size_t Size = std::size_t{8} * 1024 * 1024;
+constexpr std::size_t BodySize = std::size_t{8} * 1024 * 1024;
 constexpr std::size_t PieceSize = 10000;
 
-/// Content in which a lost or doubled piece shows.
-std::string content(std::size_t begin, std::size_t length)
+/// Content with a pattern that reveals a lost or repeated piece.
+std::string patternContent(std::size_t begin, std::size_t length)
 {
     constexpr std::size_t Period = 251;
     std::string text(length, '\0');
@@ -29,14 +29,14 @@
     return text;
 }
 
-TimePoint soon()
+TimePoint testDeadline()
 {
     return std::chrono::steady_clock::now() + std::chrono::seconds(20);
 }
 
-/// Reads with @p read until the end, and checks content and the size of the pieces.
+/// Reads with @p read until the end and checks the content and size of the pieces. Returns the total size.
 template<typename Read>
-asio::awaitable<std::size_t> checkedRead(Read read, std::size_t limit)
+asio::awaitable<std::size_t> readAndCheck(Read read, std::size_t limit)
 {
     std::size_t total = 0;
     for (;;) {
@@ -46,7 +46,7 @@
             co_return total;
         }
         REQUIRE(piece.value().size() <= limit);
-        REQUIRE(piece.value() == content(total, piece.value().size()));
+        REQUIRE(piece.value() == patternContent(total, piece.value().size()));
         total += piece.value().size();
     }
 }
@@ -54,24 +54,24 @@
 template<typename Write>
 asio::awaitable<void> writeContent(Write write)
 {
-    for (std::size_t sent = 0; sent < Size; sent += PieceSize) {
-        const auto written = co_await write(content(sent, std::min(PieceSize, Size - sent)));
+    for (std::size_t sent = 0; sent < BodySize; sent += PieceSize) {
+        const auto written = co_await write(patternContent(sent, std::min(PieceSize, BodySize - sent)));
         REQUIRE(written);
     }
 }
 
 }
 
-TEST_CASE("8 MiB pass both ways under a small buffer, with and without a length")
+TEST_CASE("8 MiB are streamed in both directions with a small buffer, with and without a length")
 {
     const bool chunked = GENERATE(false, true);
-    const std::optional<std::uint64_t> length = chunked ? std::nullopt : std::optional<std::uint64_t>(Size);
+    const std::optional<std::uint64_t> length = chunked ? std::nullopt : std::optional<std::uint64_t>(BodySize);
     EventLoop loop;
     HttpLimits limits;
     limits.readBufferBytes = 16384;
     std::size_t uploaded = 0;
     HttpServer server(loop.executor(), limits, [&](HttpExchange &exchange) -> asio::awaitable<void> {
-        uploaded = co_await checkedRead([&] { return exchange.readBody(); }, limits.readBufferBytes);
+        uploaded = co_await readAndCheck([&] { return exchange.readBody(); }, limits.readBufferBytes);
         requireAwaited(co_await exchange.beginResponse({}, length));
         co_await writeContent([&](std::string piece) { return exchange.writeBody(std::move(piece)); });
         requireAwaited(co_await exchange.endResponse());
@@ -82,7 +82,7 @@
     HttpConnectionPool pool(loop.executor(), poolLimits);
     loop.run([&]() -> asio::awaitable<void> {
         for (int turn = 0; turn < 2; ++turn) {
-            auto opened = co_await pool.open(endpoint, soon());
+            auto opened = co_await pool.open(endpoint, testDeadline());
             REQUIRE(opened);
             HttpClientCall &call = *opened.value();
             CHECK(call.reused() == (turn == 1));
@@ -97,15 +97,17 @@
             auto response = co_await call.readHead();
             REQUIRE(response);
             CHECK(response.value().contentLength == length);
-            checkAwaited(co_await checkedRead([&] { return call.readBody(); }, poolLimits.readBufferBytes) == Size);
-            CHECK(uploaded == Size);
+            checkAwaited(co_await readAndCheck([&] { return call.readBody(); }, poolLimits.readBufferBytes)
+                         == BodySize);
+            CHECK(uploaded == BodySize);
         }
     });
     CHECK(pool.counts().opened == 1);
 }
 
-// The upstream dies in the middle of a statement. The caller must see that it ended early, not half a statement.
-TEST_CASE("an answer that is aborted half way is never whole at the other end")
+// The upstream crashes in the middle of an answer. The caller must detect that the answer ended early, and must not get
+// half of it as a complete answer.
+TEST_CASE("an answer that is aborted half way never appears complete to the caller")
 {
     const bool chunked = GENERATE(false, true);
     EventLoop loop;
@@ -118,7 +120,7 @@
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     HttpConnectionPool pool(loop.executor(), {});
     loop.run([&]() -> asio::awaitable<void> {
-        auto opened = co_await pool.open(endpoint, soon());
+        auto opened = co_await pool.open(endpoint, testDeadline());
         REQUIRE(opened);
         requireAwaited(co_await opened.value()->sendRequest({}, {}));
         requireAwaited(co_await opened.value()->readHead());
--- a/tests/http/rawconnection.h
+++ b/tests/http/rawconnection.h
@@ -11,7 +11,7 @@
 namespace Egretpath
 {
 
-/// A TCP connection that sends whatever bytes a test wants, right or wrong.
+/// A TCP connection on which a test sends arbitrary bytes, valid HTTP or not.
 class RawConnection
 {
 public:
@@ -20,19 +20,19 @@
 
     [[nodiscard]] boost::asio::awaitable<void> connect(Endpoint endpoint);
     [[nodiscard]] boost::asio::awaitable<void> send(std::string bytes);
-    /// What arrives until the other side closes.
+    /// Returns the bytes that arrive until the other side closes the connection.
     [[nodiscard]] boost::asio::awaitable<std::string> receiveAll();
-    /// What arrives until @p end is the last of it, or the other side closes.
+    /// Returns the bytes that arrive until they end with @p end or the other side closes the connection.
     [[nodiscard]] boost::asio::awaitable<std::string> receiveUntil(std::string end);
     void close();
-    /// Closes with a reset.
+    /// Closes the connection with a reset.
     void reset();
 
 private:
     boost::asio::ip::tcp::socket socket_;
 };
 
-/// Listens on a free port and hands out the connections made to it.
+/// Listens on a free port and returns the connections that it accepts.
 class RawListener
 {
 public:
