--- a/src/http/httpclientcall.cpp
+++ b/src/http/httpclientcall.cpp
@@ -47,7 +47,7 @@
     return connection_->readBody();
 }
 
-boost::asio::awaitable<Result<std::string>> HttpClientCall::readCompleteBody(Bytes limit)
+boost::asio::awaitable<Result<std::string>> HttpClientCall::readCompleteBody(Bytes maxSize)
 {
     std::string completeBody;
     for (;;) {
@@ -58,7 +58,7 @@
         if (piece.value().empty()) {
             co_return completeBody;
         }
-        if (completeBody.size() + piece.value().size() > limit.value()) {
+        if (completeBody.size() + piece.value().size() > maxSize.value()) {
             cancel();
             co_return mayHaveRun(Reason::TooLarge, "the response is over the limit");
         }
--- a/src/http/httpclientcall.h
+++ b/src/http/httpclientcall.h
@@ -56,8 +56,8 @@
     /// the head are returned at once. The body of a response without a length is complete when the server closes the
     /// connection in order; after a reset the error is BadAnswer.
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
-    /// Reads the complete body. Errors: also TooLarge if it is longer than @p limit.
-    [[nodiscard]] boost::asio::awaitable<Result<std::string>> readCompleteBody(Bytes limit);
+    /// Reads the complete body. Errors: also TooLarge if it is longer than @p maxSize.
+    [[nodiscard]] boost::asio::awaitable<Result<std::string>> readCompleteBody(Bytes maxSize);
 
     /// Whether a byte of the request was sent. From then on the server may run the request.
     [[nodiscard]] bool firstByteSent() const;
--- a/src/http/httpconnectionpool.cpp
+++ b/src/http/httpconnectionpool.cpp
@@ -23,9 +23,9 @@
     return state_->open(std::move(endpoint), deadline, choice);
 }
 
-void HttpConnectionPool::setConnectionCap(std::size_t cap)
+void HttpConnectionPool::setConnectionCap(std::size_t maxConnections)
 {
-    state_->setConnectionCap(cap);
+    state_->setConnectionCap(maxConnections);
 }
 
 void HttpConnectionPool::closeIdle()
--- a/src/http/httpconnectionpool.h
+++ b/src/http/httpconnectionpool.h
@@ -65,8 +65,9 @@
     [[nodiscard]] boost::asio::awaitable<Result<std::unique_ptr<HttpClientCall>>>
     open(Endpoint endpoint, TimePoint deadline, HttpConnectionChoice choice = HttpConnectionChoice::Pooled);
 
-    /// Sets both connection limits to @p cap. Connections beyond a lowered limit stay open until their calls finish.
-    void setConnectionCap(std::size_t cap);
+    /// Sets both connection limits to @p maxConnections. Connections beyond a lowered limit stay open until their calls
+    /// finish.
+    void setConnectionCap(std::size_t maxConnections);
 
     /// Closes all idle connections.
     void closeIdle();
--- a/src/http/httpconnectionpoolstate.cpp
+++ b/src/http/httpconnectionpoolstate.cpp
@@ -119,10 +119,10 @@
     }
 }
 
-void HttpConnectionPoolState::setConnectionCap(std::size_t cap)
+void HttpConnectionPoolState::setConnectionCap(std::size_t maxConnections)
 {
-    limits_.connections = cap;
-    limits_.connectionsPerEndpoint = cap;
+    limits_.connections = maxConnections;
+    limits_.connectionsPerEndpoint = maxConnections;
 }
 
 void HttpConnectionPoolState::closeIdle()
--- a/src/http/httpserverconnection.cpp
+++ b/src/http/httpserverconnection.cpp
@@ -105,7 +105,7 @@
 asio::awaitable<void> HttpServerConnection::refuse()
 {
     const auto self = shared_from_this();
-    isIdle_ = false;
+    waitsForRequest_ = false;
     hasUnreadInput_ = true;
     co_await sendRefusal(UnavailableStatus, "too many connections");
     co_await closeGracefully();
@@ -114,7 +114,7 @@
 void HttpServerConnection::startDraining()
 {
     isDraining_ = true;
-    if (isIdle_ && exchanges_.empty()) {
+    if (waitsForRequest_ && exchanges_.empty()) {
         readTimer_.expireAfter(server_->limits().closeGrace);
     }
 }
@@ -130,8 +130,8 @@
 {
     const HttpLimits &limits = server_->limits();
     RequestParser &parser = exchange.parser();
-    isIdle_ = buffer_.empty();
-    isReadingHead_ = !isIdle_;
+    waitsForRequest_ = buffer_.empty();
+    isReadingHead_ = !waitsForRequest_;
     if (isReadingHead_) {
         readTimer_.expireAfter(limits.headerReadTime);
     } else {
@@ -149,7 +149,7 @@
             }
             co_return false;
         }
-        if (std::exchange(isIdle_, false)) {
+        if (std::exchange(waitsForRequest_, false)) {
             isReadingHead_ = true;
             readTimer_.expireAfter(limits.headerReadTime);
         }
@@ -164,7 +164,7 @@
     co_return isReading_;
 }
 
-/// Starts the idle timeout. While responses are still due, the connection is not idle and has no timeout.
+/// Starts the idle timeout. There is no timeout while responses are still due.
 void HttpServerConnection::startIdleTimer()
 {
     if (!exchanges_.empty()) {
@@ -200,7 +200,7 @@
     }
     if (!exchanges_.empty()) {
         exchanges_.front()->onTurn();
-    } else if (isIdle_ && isReading_) {
+    } else if (waitsForRequest_ && isReading_) {
         startIdleTimer();
     }
     completionSignal_.cancel();
--- a/src/http/httpserverconnection.h
+++ b/src/http/httpserverconnection.h
@@ -85,7 +85,7 @@
     /// A timer that never expires; cancelled to wake up its waiters when an exchange was completed.
     boost::asio::steady_timer completionSignal_;
     /// Waiting for the first byte of a request head.
-    bool isIdle_ = true;
+    bool waitsForRequest_ = true;
     /// Reading the rest of a request head.
     bool isReadingHead_ = false;
     bool isReading_ = true;
--- a/tests/http/httpstreamingtest.cpp
+++ b/tests/http/httpstreamingtest.cpp
@@ -36,7 +36,7 @@
 
 /// Reads with @p read until the end and checks the content and size of the pieces. Returns the total size.
 template<typename Read>
-asio::awaitable<std::size_t> readAndCheck(Read read, std::size_t limit)
+asio::awaitable<std::size_t> readAndCheck(Read read, std::size_t maxPieceBytes)
 {
     std::size_t total = 0;
     for (;;) {
@@ -45,7 +45,7 @@
         if (piece.value().empty()) {
             co_return total;
         }
-        REQUIRE(piece.value().size() <= limit);
+        REQUIRE(piece.value().size() <= maxPieceBytes);
         REQUIRE(piece.value() == patternContent(total, piece.value().size()));
         total += piece.value().size();
     }
