--- a/src/http/httpclientcall.h
+++ b/src/http/httpclientcall.h
@@ -37,7 +37,7 @@
     HttpClientCall &operator=(const HttpClientCall &) = delete;
 
     /// Prepares the head. It is sent with the first body bytes, or by finishRequest(). Errors: BadRequest (NotRun)
-    /// for a head with characters that HTTP forbids.
+    /// for a head that is not valid HTTP.
     [[nodiscard]] Result<void> sendHead(const HttpRequestHead &head);
     /// Sends a piece of the body; returns once the socket has accepted it. Precondition: sendHead() succeeded.
     /// Errors: also TooLarge if the body gets longer than the head announced.
@@ -53,8 +53,8 @@
     /// complete response was read, for the next response on the connection.
     [[nodiscard]] boost::asio::awaitable<Result<HttpResponseHead>> readHead();
     /// Reads the next piece of the body; returns an empty piece once the body is complete. Body bytes that arrived with
-    /// the head are returned at once. The body of a response without a length is complete when the server closes the
-    /// connection in order; after a reset the error is BadAnswer.
+    /// the head are returned at once. The body of a response without a length is complete after an orderly close by the
+    /// server; after a reset the error is BadAnswer.
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
     /// Reads the complete body. Errors: also TooLarge if it is longer than @p maxSize.
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readCompleteBody(Bytes maxSize);
--- a/src/http/httpexchange.h
+++ b/src/http/httpexchange.h
@@ -44,8 +44,8 @@
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
 
     /// Sends a complete response. Precondition: no response was started.
-    /// Errors: Cancelled if the caller disconnected, BadRequest (nothing was sent) for a head with characters that HTTP
-    /// forbids or a status that is not final. The verdict of write errors is MayHaveRun.
+    /// Errors: Cancelled if the caller disconnected, BadRequest (nothing was sent) for a head that is not valid HTTP
+    /// or whose status is not final. The verdict of write errors is MayHaveRun.
     boost::asio::awaitable<Result<void>> respond(HttpResponseHead head, std::string body);
 
     /// Starts a streamed response of @p length bytes, or a chunked response without @p length. The head is sent with
--- a/src/http/httpheaders.h
+++ b/src/http/httpheaders.h
@@ -28,8 +28,7 @@
     HttpHeaders() = default;
     HttpHeaders(std::initializer_list<HttpHeader> fields);
 
-    /// Appends a field. Precondition: none; names and values that HTTP forbids are rejected when the message is
-    /// written.
+    /// Appends a field. Precondition: none; invalid names and values are rejected when the message is written.
     void add(std::string name, std::string value);
     /// Replaces all fields named @p name by one field.
     void set(std::string_view name, std::string value);
