--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -79,9 +79,9 @@
     slots_.refuseWaiting([this](const UpstreamName &target) { return presence_.rejection(target); });
 }
 
-void EgressRole::setConnectionCap(std::uint32_t cap)
+void EgressRole::setMaxConnections(std::uint32_t cap)
 {
-    pool_.setConnectionCap(cap);
+    pool_.setMaxConnections(cap);
 }
 
 LoadReport EgressRole::report(const RouteName &route) const
--- a/src/egress/egressrole.h
+++ b/src/egress/egressrole.h
@@ -75,7 +75,7 @@
     /// requests for an upstream that leaves are refused.
     void setInstanceRecord(const InstanceRecord *record);
     void setHealthPath(std::string path) { settings_.healthPath = std::move(path); }
-    void setConnectionCap(std::uint32_t cap);
+    void setMaxConnections(std::uint32_t cap);
     /// Starts or stops refusing new requests.
     void setDraining(bool draining) { draining_ = draining; }
     /// Calls @p listener when the upstream has exited while it had requests; see UpstreamExitMonitor::Listener.
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -360,8 +360,8 @@
 
 bool UpstreamRequest::mayResend(const Failure &failure) const
 {
-    return head_.isRepeatable && failure.reason == Reason::ConnectionLost && httpCall_ && httpCall_->reused()
-        && !cancellation_->isCancelled();
+    return head_.isRepeatable && failure.reason == Reason::ConnectionLost && httpCall_
+        && httpCall_->isConnectionReused() && !cancellation_->isCancelled();
 }
 
 HttpRequestHead UpstreamRequest::makeUpstreamHead() const
--- a/src/http/httpclientcall.cpp
+++ b/src/http/httpclientcall.cpp
@@ -66,14 +66,14 @@
     }
 }
 
-bool HttpClientCall::firstByteSent() const
+bool HttpClientCall::isFirstByteSent() const
 {
-    return connection_->firstByteSent();
+    return connection_->isFirstByteSent();
 }
 
-bool HttpClientCall::reused() const
+bool HttpClientCall::isConnectionReused() const
 {
-    return connection_->reused();
+    return connection_->isConnectionReused();
 }
 
 void HttpClientCall::cancel()
--- a/src/http/httpclientcall.h
+++ b/src/http/httpclientcall.h
@@ -60,9 +60,9 @@
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readCompleteBody(Bytes maxSize);
 
     /// Whether a byte of the request was sent. From then on the server may run the request.
-    [[nodiscard]] bool firstByteSent() const;
+    [[nodiscard]] bool isFirstByteSent() const;
     /// Whether the connection was used by an earlier call.
-    [[nodiscard]] bool reused() const;
+    [[nodiscard]] bool isConnectionReused() const;
     /// Resets the connection, so that a server that watches for disconnected callers stops its work. Awaited operations
     /// fail with Cancelled.
     void cancel();
--- a/src/http/httpclientconnection.cpp
+++ b/src/http/httpclientconnection.cpp
@@ -172,7 +172,7 @@
 {
     // After the process was paused, this code may run before the overdue timer fires. The verdict NotRun may have been
     // reported to the caller, so the first byte must not be sent after the deadline.
-    if (!firstByteSent() && std::chrono::steady_clock::now() >= deadline_) {
+    if (!isFirstByteSent() && std::chrono::steady_clock::now() >= deadline_) {
         onTimeout();
     }
     if (isCancelled_ || hasTimedOut_ || !socket_.is_open()) {
@@ -251,7 +251,7 @@
 
 Failure HttpClientConnection::failure(Reason reason, std::string detail) const
 {
-    return firstByteSent() ? mayHaveRun(reason, std::move(detail)) : notRun(reason, std::move(detail));
+    return isFirstByteSent() ? mayHaveRun(reason, std::move(detail)) : notRun(reason, std::move(detail));
 }
 
 Failure HttpClientConnection::socketFailure(const error_code &error) const
--- a/src/http/httpclientconnection.h
+++ b/src/http/httpclientconnection.h
@@ -54,8 +54,8 @@
     [[nodiscard]] boost::asio::awaitable<Result<void>> sendRequest(HttpRequestHead head, std::string body);
     [[nodiscard]] boost::asio::awaitable<Result<HttpResponseHead>> readHead();
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
-    [[nodiscard]] bool firstByteSent() const { return bytesSent_ > 0; }
-    [[nodiscard]] bool reused() const { return isReused_; }
+    [[nodiscard]] bool isFirstByteSent() const { return bytesSent_ > 0; }
+    [[nodiscard]] bool isConnectionReused() const { return isReused_; }
     void cancel();
 
     [[nodiscard]] const Endpoint &endpoint() const { return endpoint_; }
--- a/src/http/httpconnectionpool.cpp
+++ b/src/http/httpconnectionpool.cpp
@@ -23,9 +23,9 @@
     return state_->open(std::move(endpoint), deadline, choice);
 }
 
-void HttpConnectionPool::setConnectionCap(std::size_t maxConnections)
+void HttpConnectionPool::setMaxConnections(std::size_t maxConnections)
 {
-    state_->setConnectionCap(maxConnections);
+    state_->setMaxConnections(maxConnections);
 }
 
 void HttpConnectionPool::closeIdle()
--- a/src/http/httpconnectionpool.h
+++ b/src/http/httpconnectionpool.h
@@ -67,7 +67,7 @@
 
     /// Sets both connection limits to @p maxConnections. Connections beyond a lowered limit stay open until their calls
     /// finish.
-    void setConnectionCap(std::size_t maxConnections);
+    void setMaxConnections(std::size_t maxConnections);
 
     /// Closes all idle connections.
     void closeIdle();
--- a/src/http/httpconnectionpoolstate.cpp
+++ b/src/http/httpconnectionpoolstate.cpp
@@ -119,7 +119,7 @@
     }
 }
 
-void HttpConnectionPoolState::setConnectionCap(std::size_t maxConnections)
+void HttpConnectionPoolState::setMaxConnections(std::size_t maxConnections)
 {
     limits_.connections = maxConnections;
     limits_.connectionsPerEndpoint = maxConnections;
--- a/src/http/httpconnectionpoolstate.h
+++ b/src/http/httpconnectionpoolstate.h
@@ -28,7 +28,7 @@
     /// Called by the destructor of each connection.
     void removeConnection(const Endpoint &endpoint);
     void closeIdle();
-    void setConnectionCap(std::size_t maxConnections);
+    void setMaxConnections(std::size_t maxConnections);
 
     [[nodiscard]] std::size_t connectionCount() const { return connections_; }
     [[nodiscard]] std::size_t connectionCount(const Endpoint &endpoint) const;
--- a/src/http/httpexchange.cpp
+++ b/src/http/httpexchange.cpp
@@ -34,10 +34,10 @@
     return exchange_->respond(std::move(head), std::move(body));
 }
 
-boost::asio::awaitable<Result<void>> HttpExchange::beginResponse(HttpResponseHead head,
+boost::asio::awaitable<Result<void>> HttpExchange::startResponse(HttpResponseHead head,
                                                                  std::optional<std::uint64_t> length)
 {
-    return exchange_->beginResponse(std::move(head), length);
+    return exchange_->startResponse(std::move(head), length);
 }
 
 boost::asio::awaitable<Result<void>> HttpExchange::writeBody(std::string chunk)
@@ -45,9 +45,9 @@
     return exchange_->writeBody(std::move(chunk));
 }
 
-boost::asio::awaitable<Result<void>> HttpExchange::endResponse()
+boost::asio::awaitable<Result<void>> HttpExchange::finishResponse()
 {
-    return exchange_->endResponse();
+    return exchange_->finishResponse();
 }
 
 boost::asio::awaitable<void> HttpExchange::waitForTurn()
--- a/src/http/httpexchange.h
+++ b/src/http/httpexchange.h
@@ -49,15 +49,15 @@
     boost::asio::awaitable<Result<void>> respond(HttpResponseHead head, std::string body);
 
     /// Starts a streamed response of @p length bytes, or a chunked response without @p length. The head is sent with
-    /// the first body bytes, or by endResponse(). Precondition: no response was started. Errors: as respond().
-    boost::asio::awaitable<Result<void>> beginResponse(HttpResponseHead head, std::optional<std::uint64_t> length);
+    /// the first body bytes, or by finishResponse(). Precondition: no response was started. Errors: as respond().
+    boost::asio::awaitable<Result<void>> startResponse(HttpResponseHead head, std::optional<std::uint64_t> length);
     /// Sends a piece of the body; returns once the socket has accepted it, so that a slow caller slows the handler
-    /// down. Precondition: called between beginResponse() and endResponse(). Errors: as respond(); TooLarge if the body
-    /// gets longer than announced.
+    /// down. Precondition: called between startResponse() and finishResponse(). Errors: as respond(); TooLarge if the
+    /// body gets longer than announced.
     boost::asio::awaitable<Result<void>> writeBody(std::string chunk);
     /// Finishes the streamed response. Errors: as respond(); BadAnswer if fewer bytes were written than announced, in
     /// which case the connection is reset.
-    boost::asio::awaitable<Result<void>> endResponse();
+    boost::asio::awaitable<Result<void>> finishResponse();
 
     /// Resumes when all earlier requests of the connection have their responses, or the caller disconnected.
     ///
--- a/src/http/httpserver.cpp
+++ b/src/http/httpserver.cpp
@@ -32,9 +32,9 @@
     state_->setLimits(limits);
 }
 
-void HttpServer::leaveCallers()
+void HttpServer::disableKeepAlive()
 {
-    state_->leaveCallers();
+    state_->disableKeepAlive();
 }
 
 void HttpServer::stopAccepting()
@@ -42,9 +42,9 @@
     state_->stopAccepting();
 }
 
-boost::asio::awaitable<void> HttpServer::drained()
+boost::asio::awaitable<void> HttpServer::waitUntilDrained()
 {
-    return state_->drained();
+    return state_->waitUntilDrained();
 }
 
 void HttpServer::closeAll()
--- a/src/http/httpserver.h
+++ b/src/http/httpserver.h
@@ -77,12 +77,12 @@
     void setLimits(const HttpLimits &limits);
     /// Closes each connection after its next response, so that callers move to other servers. New connections are still
     /// accepted.
-    void leaveCallers();
+    void disableKeepAlive();
     /// Starts the graceful shutdown: accepts no more connections, except those already in the backlog, lets exchanges
     /// in flight finish with "Connection: close", and closes idle connections after HttpLimits::closeGrace.
     void stopAccepting();
     /// Resumes when no connection is left. Precondition: stopAccepting() was called. Several coroutines may await it.
-    [[nodiscard]] boost::asio::awaitable<void> drained();
+    [[nodiscard]] boost::asio::awaitable<void> waitUntilDrained();
     /// Stops accepting and resets all remaining connections. Used when the time to drain has passed.
     void closeAll();
 
--- a/src/http/httpserverexchange.cpp
+++ b/src/http/httpserverexchange.cpp
@@ -157,7 +157,7 @@
     co_return written;
 }
 
-asio::awaitable<Result<void>> HttpServerExchange::beginResponse(HttpResponseHead head,
+asio::awaitable<Result<void>> HttpServerExchange::startResponse(HttpResponseHead head,
                                                                 std::optional<std::uint64_t> length)
 {
     co_await waitForTurn();
@@ -181,7 +181,7 @@
     co_return co_await writePiece(std::move(chunk), !remainingBytes_);
 }
 
-asio::awaitable<Result<void>> HttpServerExchange::endResponse()
+asio::awaitable<Result<void>> HttpServerExchange::finishResponse()
 {
     if (remainingBytes_.value_or(0) > 0 && !omitsBody_) {
         abort();
--- a/src/http/httpserverexchange.h
+++ b/src/http/httpserverexchange.h
@@ -38,10 +38,10 @@
 
     [[nodiscard]] boost::asio::awaitable<Result<std::string>> readBody();
     [[nodiscard]] boost::asio::awaitable<Result<void>> respond(HttpResponseHead head, std::string body);
-    [[nodiscard]] boost::asio::awaitable<Result<void>> beginResponse(HttpResponseHead head,
+    [[nodiscard]] boost::asio::awaitable<Result<void>> startResponse(HttpResponseHead head,
                                                                      std::optional<std::uint64_t> length);
     [[nodiscard]] boost::asio::awaitable<Result<void>> writeBody(std::string chunk);
-    [[nodiscard]] boost::asio::awaitable<Result<void>> endResponse();
+    [[nodiscard]] boost::asio::awaitable<Result<void>> finishResponse();
     /// Resumes when all earlier responses of the connection are complete, or the caller disconnected.
     [[nodiscard]] boost::asio::awaitable<void> waitForTurn();
     void abort();
--- a/src/http/httpserverstate.cpp
+++ b/src/http/httpserverstate.cpp
@@ -134,7 +134,7 @@
     }
 }
 
-asio::awaitable<void> HttpServerState::drained()
+asio::awaitable<void> HttpServerState::waitUntilDrained()
 {
     const auto self = shared_from_this();
     while (!isDraining_ || !connections_.empty()) {
--- a/src/http/httpserverstate.h
+++ b/src/http/httpserverstate.h
@@ -26,10 +26,10 @@
 
     [[nodiscard]] Result<Endpoint> listen(const boost::asio::ip::tcp::endpoint &endpoint);
     void setLimits(const HttpLimits &limits) { limits_ = limits; }
-    void leaveCallers() { isKeepAliveDisabled_ = true; }
+    void disableKeepAlive() { isKeepAliveDisabled_ = true; }
     [[nodiscard]] bool isKeepAliveDisabled() const { return isKeepAliveDisabled_; }
     void stopAccepting();
-    [[nodiscard]] boost::asio::awaitable<void> drained();
+    [[nodiscard]] boost::asio::awaitable<void> waitUntilDrained();
     void closeAll();
 
     /// Called by the destructor of each connection.
--- a/src/ingress/streamedanswerrelay.cpp
+++ b/src/ingress/streamedanswerrelay.cpp
@@ -22,7 +22,7 @@
     request->isStreamed_ = true;
     HttpResponseHead response(head.status);
     response.headers = std::move(head.headers);
-    const Result<void> begun = co_await request->exchange_.beginResponse(std::move(response), std::nullopt);
+    const Result<void> begun = co_await request->exchange_.startResponse(std::move(response), std::nullopt);
     co_return begun.has_value();
 }
 
@@ -42,7 +42,7 @@
     if (!request || !request->isStreamed_) {
         co_return false;
     }
-    const Result<void> ended = co_await request->exchange_.endResponse();
+    const Result<void> ended = co_await request->exchange_.finishResponse();
     co_return ended.has_value();
 }
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -184,7 +184,7 @@
             return;
         }
         state_.log.info(StructuredLine("stop").add("state", "requested"));
-        callerServer_.leaveCallers();
+        callerServer_.disableKeepAlive();
         asio::co_spawn(executor_, drain(), asio::detached);
     }
 
@@ -240,7 +240,7 @@
             callerServer_.setLimits(callerLimits(state_.routes->limits()));
             if (const ServiceEntry *service = state_.routes->service(state_.settings.service)) {
                 egress_.setHealthPath(service->healthPath);
-                egress_.setConnectionCap(service->maxConnections);
+                egress_.setMaxConnections(service->maxConnections);
             }
         }
         reportReady();
--- a/tests/http/httpclienttest.cpp
+++ b/tests/http/httpclienttest.cpp
@@ -167,11 +167,11 @@
         RawListener listener(loop.executor());
         auto first = co_await pool.open(listener.endpoint(), testDeadline());
         REQUIRE(first);
-        pool.setConnectionCap(1);
+        pool.setMaxConnections(1);
         auto second = co_await pool.open(listener.endpoint(), testDeadline());
         REQUIRE_FALSE(second);
         CHECK(second.error().reason == Reason::BudgetSpent);
-        pool.setConnectionCap(2);
+        pool.setMaxConnections(2);
         auto third = co_await pool.open(listener.endpoint(), testDeadline());
         CHECK(third);
     });
@@ -288,7 +288,7 @@
         {
             auto fresh = co_await pool.open(endpoint, testDeadline(), HttpConnectionChoice::Fresh);
             REQUIRE(fresh);
-            CHECK_FALSE(fresh.value()->reused());
+            CHECK_FALSE(fresh.value()->isConnectionReused());
         }
         checkAwaited(co_await get(pool, other) == "x");
         CHECK(pool.connectionCount(endpoint) == 0);
--- a/tests/http/httpservertest.cpp
+++ b/tests/http/httpservertest.cpp
@@ -499,7 +499,7 @@
         release = true;
         checkAwaited((co_await busy.receiveAll()).ends_with("whole"));
         checkAwaited((co_await unused.receiveAll()).empty());
-        co_await server.drained();
+        co_await server.waitUntilDrained();
         CHECK(server.connectionCount() == 0);
 
         RawConnection late(loop.executor());
--- a/tests/http/httpstreamingtest.cpp
+++ b/tests/http/httpstreamingtest.cpp
@@ -72,9 +72,9 @@
     std::size_t uploaded = 0;
     HttpServer server(loop.executor(), limits, [&](HttpExchange &exchange) -> asio::awaitable<void> {
         uploaded = co_await readAndCheck([&] { return exchange.readBody(); }, limits.readBufferBytes);
-        requireAwaited(co_await exchange.beginResponse({}, length));
+        requireAwaited(co_await exchange.startResponse({}, length));
         co_await writeContent([&](std::string piece) { return exchange.writeBody(std::move(piece)); });
-        requireAwaited(co_await exchange.endResponse());
+        requireAwaited(co_await exchange.finishResponse());
     });
     const Endpoint endpoint = server.listen(Endpoint("127.0.0.1:0")).value();
     HttpPoolLimits poolLimits;
@@ -85,15 +85,15 @@
             auto opened = co_await pool.open(endpoint, testDeadline());
             REQUIRE(opened);
             HttpClientCall &call = *opened.value();
-            CHECK(call.reused() == (turn == 1));
+            CHECK(call.isConnectionReused() == (turn == 1));
             HttpRequestHead head;
             head.method = "POST";
             head.contentLength = length;
             REQUIRE(call.sendHead(head));
-            CHECK_FALSE(call.firstByteSent());
+            CHECK_FALSE(call.isFirstByteSent());
             co_await writeContent([&](std::string piece) { return call.writeBody(std::move(piece)); });
             requireAwaited(co_await call.finishRequest());
-            CHECK(call.firstByteSent());
+            CHECK(call.isFirstByteSent());
             auto response = co_await call.readHead();
             REQUIRE(response);
             CHECK(response.value().contentLength == length);
@@ -112,7 +112,7 @@
     const bool chunked = GENERATE(false, true);
     EventLoop loop;
     HttpServer server(loop.executor(), {}, [&](HttpExchange &exchange) -> asio::awaitable<void> {
-        (void)co_await exchange.beginResponse({}, chunked ? std::nullopt : std::optional<std::uint64_t>(100));
+        (void)co_await exchange.startResponse({}, chunked ? std::nullopt : std::optional<std::uint64_t>(100));
         (void)co_await exchange.writeBody("half");
         co_await loop.sleep(Milliseconds(5));
         exchange.abort();
--- a/tests/soak/soakcallers.cpp
+++ b/tests/soak/soakcallers.cpp
@@ -224,7 +224,7 @@
                 seconds.empty() ? 0.0 : std::strtod(seconds.c_str(), nullptr) * MillisecondsPerSecond));
         }
     }
-    result.isUnsent = !call.firstByteSent();
+    result.isUnsent = !call.isFirstByteSent();
     // A caller whose time is over closes the connection, as a caller that disconnects early does.
     if (!result.callerDisconnected && result.status == 0 && currentTime() >= sent.at + sent.callerTimeout) {
         result.callerDisconnected = true;
--- a/tests/standins/standinprogram.cpp
+++ b/tests/standins/standinprogram.cpp
@@ -28,7 +28,7 @@
     server.stopAccepting();
     asio::steady_timer limit(context, StopTimeout);
     limit.async_wait([&context](boost::system::error_code) { context.stop(); });
-    co_await server.drained();
+    co_await server.waitUntilDrained();
     context.stop();
 }
 
--- a/tests/standins/standinupstream.cpp
+++ b/tests/standins/standinupstream.cpp
@@ -257,7 +257,7 @@
         if (drawBool(faults_.lostAnswerShare)) {
             exchange.abort();
         } else if (drawBool(faults_.truncatedShare)) {
-            (void)co_await exchange.beginResponse(head, content.size());
+            (void)co_await exchange.startResponse(head, content.size());
             (void)co_await exchange.writeBody(content.substr(0, content.size() / 2));
             exchange.abort();
         } else {
