--- a/src/admission/offeroutcome.h
+++ b/src/admission/offeroutcome.h
@@ -30,7 +30,8 @@
 
 using OfferOutcome = std::variant<Admitted, Queued, Refused>;
 
-/// A queued call that was removed because it can no longer meet its deadline.
+/// A queued call that was removed because it can no longer meet its deadline, or has waited too long after it could no
+/// longer meet its target. It never ran.
 struct ExpiredCall
 {
     CallId call;
--- a/src/admission/upstreamaccount.cpp
+++ b/src/admission/upstreamaccount.cpp
@@ -48,8 +48,8 @@
     query_.readCalls.erase(call);
     for (LossRecord &record : lossRecords_) {
         const bool isCandidate = record.candidates.erase(call) > 0;
-        // A call that was given up may be one of the lost calls. An answer in an unsettled record may have been sent
-        // before the count.
+        // A call that was given up may be one of the lost calls. As long as the record is unsettled, the answer to a
+        // call may have been sent before the upstream counted.
         if (isCandidate && record.lostCount > 0 && (!answered || !record.isSettled)) {
             --record.lostCount;
         }
@@ -79,8 +79,9 @@
     }
 }
 
-/// Settles records that are older than the query that was just answered by SettleDelay or more. During the round trip
-/// of that query the node has read the answers that were in flight, even if its process was suspended meanwhile.
+/// Settles the records that were made SettleDelay or more before the query that was just answered was sent. During the
+/// round trip of that query the node has read the answers that were in flight, even if its process was suspended
+/// meanwhile.
 void UpstreamAccount::settleLossRecords()
 {
     for (LossRecord &record : lossRecords_) {
--- a/src/admission/upstreamaccount.h
+++ b/src/admission/upstreamaccount.h
@@ -58,7 +58,7 @@
     struct Query
     {
         TimePoint sentAt;
-        /// Calls that the upstream must have read before the query was sent.
+        /// Calls that the upstream had certainly read when the query was sent.
         std::set<CallId> readCalls;
         /// Maximum number of this node's calls that the upstream may have counted.
         std::uint32_t maxCounted = 0;
@@ -78,6 +78,7 @@
     std::vector<LossRecord> lossRecords_;
     Query query_;
     std::uint32_t externalRequests_ = 0;
+    /// Whether the upstream has reported at least one request.
     bool hasCounted_ = false;
 };
 
--- a/src/admission/vmslowdown.cpp
+++ b/src/admission/vmslowdown.cpp
@@ -49,7 +49,7 @@
     lastRecord_ = now;
 }
 
-double VmSlowdown::afterSlowPeriod(TimePoint now) const
+double VmSlowdown::recoveredSlowdown(TimePoint now) const
 {
     const double lowest = lowestSince(now - SlowPeriodMemory);
     return factor_ > SlowRatio * lowest ? lowest : factor_;
--- a/src/admission/vmslowdown.h
+++ b/src/admission/vmslowdown.h
@@ -27,13 +27,14 @@
     /// The latest slowdown.
     [[nodiscard]] double factor() const { return factor_; }
     /// The slowdown that is expected after the current slow period; factor() if there is none.
-    [[nodiscard]] double afterSlowPeriod(TimePoint now) const;
+    [[nodiscard]] double recoveredSlowdown(TimePoint now) const;
     /// Time from @p now to the expected end of the current slow period; zero if there is none.
     [[nodiscard]] Duration slowPeriodLeft(TimePoint now) const;
     /// The time from which the VM no longer counts as in a slow period if its slowdown does not change.
     [[nodiscard]] TimePoint slowPeriodLimit() const;
-    /// The time that work done from @p start to @p now would have taken at the baseline speed if it follows the VM's
-    /// slowdown throughout. The part of the span before the oldest stored sample counts at the slowdown of that sample.
+    /// The time that work done from @p start to @p now would have taken at the baseline speed, if its speed follows
+    /// the VM's slowdown throughout. The part of the span before the oldest stored sample counts at the slowdown of
+    /// that sample.
     [[nodiscard]] Duration baselineTimeBetween(TimePoint start, TimePoint now) const;
 
 private:
--- a/src/admission/workqueue.cpp
+++ b/src/admission/workqueue.cpp
@@ -12,21 +12,22 @@
 namespace
 {
 
-constexpr double BaselineSlowdown = 100.0;
+constexpr double Percent = 100.0;
 /// Four fifths of five slots are four, but binary fractions may yield slightly less.
 constexpr double RoundingTolerance = 1e-9;
-/// Minimum time that a call which is late on arrival waits for a slot; about the time in which one slot becomes free.
+/// Lower limit of the time for which a late call stays queued, even if it was late on arrival; about the time in which
+/// one slot becomes free.
 constexpr Milliseconds MinLateWait{60};
 /// A running call that takes longer than this multiple of its expected time shows that the upstream is slow or has
 /// stopped.
 constexpr double OverdueFactor = 2.5;
-constexpr double MaxSlowdown = 5000.0;
+constexpr double MaxSlowdownPercent = 5000.0;
 /// A running call that has reached its expected time is assumed to need at least this share of it again.
 constexpr double OverdueShare = 0.3;
 
 std::uint16_t slowdownInPercent(double factor)
 {
-    return static_cast<std::uint16_t>(std::min(BaselineSlowdown * factor, MaxSlowdown));
+    return static_cast<std::uint16_t>(std::min(Percent * factor, MaxSlowdownPercent));
 }
 
 std::uint32_t asMicroseconds(Duration duration)
@@ -50,7 +51,7 @@
 
 std::vector<CallId> WorkQueue::setSlowdown(std::uint16_t percent, TimePoint now)
 {
-    slowdown_.record(percent == 0 ? 1.0 : percent / BaselineSlowdown, now);
+    slowdown_.record(percent == 0 ? 1.0 : percent / Percent, now);
     return startQueued(now);
 }
 
@@ -177,11 +178,11 @@
     report.slowdownPercent = slowdownInPercent(slowdown_.factor() * ownSlowdown);
     report.recoveredSlowdownPercent = report.slowdownPercent;
     if (mayWaitForSlowPeriodEnd() && slowdown_.slowPeriodLeft(now) > Duration{0}) {
-        report.recoveredSlowdownPercent = slowdownInPercent(slowdown_.afterSlowPeriod(now) * ownSlowdown);
+        report.recoveredSlowdownPercent = slowdownInPercent(slowdown_.recoveredSlowdown(now) * ownSlowdown);
         report.slowPeriodLeftMicroseconds = asMicroseconds(slowdown_.slowPeriodLeft(now));
     }
     report.meanServiceMicroseconds = asMicroseconds(times_.overall());
-    report.failurePercent = static_cast<std::uint8_t>(std::clamp(failureShare_, 0.0, 1.0) * BaselineSlowdown);
+    report.failurePercent = static_cast<std::uint8_t>(std::clamp(failureShare_, 0.0, 1.0) * Percent);
     return report;
 }
 
@@ -240,12 +241,12 @@
         return false;
     }
     const Duration baseline = times_.baseline(route);
-    return slowPeriod + scaled(baseline, slowdown_.afterSlowPeriod(now)) < scaled(baseline, slowdown_.factor());
+    return slowPeriod + scaled(baseline, slowdown_.recoveredSlowdown(now)) < scaled(baseline, slowdown_.factor());
 }
 
 Duration WorkQueue::serviceTime(const RouteName &route, TimePoint now) const
 {
-    const double slowdown = waitsForSlowPeriodEnd(route, now) ? slowdown_.afterSlowPeriod(now) : slowdown_.factor();
+    const double slowdown = waitsForSlowPeriodEnd(route, now) ? slowdown_.recoveredSlowdown(now) : slowdown_.factor();
     return scaled(times_.baseline(route), slowdown);
 }
 
@@ -258,8 +259,8 @@
 {
     double sum = 0.0;
     for (const auto &[call, running] : running_) {
-        const Duration baseline = scaled(times_.baseline(running.route), running.slowdown * OverdueFactor);
-        sum += std::max(1.0, std::chrono::duration<double>(now - running.start) / baseline);
+        const Duration overdueAfter = scaled(times_.baseline(running.route), running.slowdown * OverdueFactor);
+        sum += std::max(1.0, std::chrono::duration<double>(now - running.start) / overdueAfter);
     }
     const double mean = running_.empty() ? 1.0 : sum / static_cast<double>(running_.size());
     return std::max(times_.upstreamSlowdown(now), mean);
@@ -289,8 +290,8 @@
 
 Duration WorkQueue::timeLeft(const RunningCall &running, TimePoint now) const
 {
-    const Duration baseline = scaled(times_.baseline(running.route), running.slowdown);
-    return std::max(baseline - (now - running.start), scaled(baseline, OverdueShare));
+    const Duration expectedDuration = scaled(times_.baseline(running.route), running.slowdown);
+    return std::max(expectedDuration - (now - running.start), scaled(expectedDuration, OverdueShare));
 }
 
 std::vector<Duration> WorkQueue::slotsFreeAfter(TimePoint now) const
--- a/src/admission/workqueue.h
+++ b/src/admission/workqueue.h
@@ -56,10 +56,10 @@
     bool waitsForSlowPeriodEnd = true;
     /// Whether calls start in the order of goesBefore(); else they start in order of arrival.
     bool ordersByUrgency = true;
-    /// Whether requests that were running when the same other upstream disconnected are kept from running together.
+    /// Whether co-suspects, which WorkQueue describes, are kept from running at the same time.
     bool separatesCoSuspects = true;
-    /// Weight of the failure share in the expected time: 1 + failureFactor * share. A sender whose request fails has to
-    /// retry it on another upstream or loses it.
+    /// A request's expected time is multiplied by 1 + failureFactor * (failure share of the upstream's recent answers),
+    /// because the sender of a request that fails has to retry it on another upstream or loses it.
     double failureFactor = 4.0;
 };
 
@@ -93,8 +93,8 @@
     /// Sets the VM's slowdown: how long work takes now, in percent of the baseline. Returns the queued calls that start
     /// now, in order.
     [[nodiscard]] std::vector<CallId> setSlowdown(std::uint16_t percent, TimePoint now);
-    /// Sets the number of other requests that the upstream runs, for a process that has ended or for callers that have
-    /// disconnected. Returns as setSlowdown() does.
+    /// Sets the number of external requests: those that the upstream runs for a process that has ended or for callers
+    /// that have disconnected. Returns as setSlowdown() does.
     [[nodiscard]] std::vector<CallId> setExternalRequests(std::uint32_t requests, TimePoint now);
     /// Sets the share of the upstream's recent answers that were failures, 0 to 1.
     void setFailureShare(double share) { failureShare_ = share; }
@@ -108,7 +108,8 @@
     /// full duration would have been longer. Returns the queued calls that start now, in order.
     [[nodiscard]] std::vector<CallId> finish(CallId call, bool answered, TimePoint now);
     CancelOutcome cancel(CallId call);
-    /// Removes and returns the queued calls that can no longer meet their deadline. These calls never ran.
+    /// Removes and returns the queued calls that can no longer meet their deadline, or have waited longer than
+    /// maxLateWait allows. These calls never ran.
     [[nodiscard]] std::vector<ExpiredCall> expire(TimePoint now);
     [[nodiscard]] std::optional<TimePoint> nextExpiry(TimePoint now) const;
     /// Starts the queued calls that no longer have to wait for the end of a slow period. Returns them in order.
--- a/tests/admission/upstreamaccounttest.cpp
+++ b/tests/admission/upstreamaccounttest.cpp
@@ -31,7 +31,7 @@
 
 }
 
-TEST_CASE("a call that the upstream does not count is lost after the answers in flight have arrived")
+TEST_CASE("a call that the upstream does not count is lost once the answers in flight have arrived")
 {
     UpstreamAccount account = accountWithCalls(2);
     queryUpstream(account, 100, 2);
@@ -94,7 +94,7 @@
     CHECK(account.lostCalls().empty());
 }
 
-// Guards against an upstream that always reports zero requests.
+// Guards against ending running requests as lost because the upstream does not count its requests.
 TEST_CASE("no call counts as lost at an upstream that always reports zero requests")
 {
     UpstreamAccount account = accountWithCalls(1);
--- a/tests/admission/vmslowdowntest.cpp
+++ b/tests/admission/vmslowdowntest.cpp
@@ -36,7 +36,7 @@
     slowdown.record(4.0, at(200'000));
     CHECK(slowdown.slowPeriodLeft(at(200'000)) > Milliseconds(600));
     CHECK(slowdown.slowPeriodLeft(at(200'000)) < Milliseconds(700));
-    CHECK(slowdown.afterSlowPeriod(at(200'000)) == 1.0);
+    CHECK(slowdown.recoveredSlowdown(at(200'000)) == 1.0);
 }
 
 // Guards against counting a gap between samples as a slow period. No sample was recorded for seconds, and the slow
@@ -64,7 +64,7 @@
     CHECK(slowdown.slowPeriodLeft(at(1200)) == Duration{0});
     slowdown.record(8.0, at(1250));
     CHECK(slowdown.slowPeriodLeft(at(1250)) > Duration{0});
-    CHECK(slowdown.afterSlowPeriod(at(1250)) == 2.0);
+    CHECK(slowdown.recoveredSlowdown(at(1250)) == 2.0);
 }
 
 TEST_CASE("the baseline time of work is computed from the slowdowns throughout the work")
@@ -83,11 +83,11 @@
     VmSlowdown slow;
     slow.record(8.0, at(0));
     CHECK(slow.slowPeriodLeft(at(0)) > Duration{0});
-    CHECK(slow.afterSlowPeriod(at(0)) == 2.0);
+    CHECK(slow.recoveredSlowdown(at(0)) == 2.0);
     VmSlowdown started;
     started.record(2.0, at(0));
     CHECK(started.slowPeriodLeft(at(0)) == Duration{0});
-    CHECK(started.afterSlowPeriod(at(0)) == 2.0);
+    CHECK(started.recoveredSlowdown(at(0)) == 2.0);
 }
 
 TEST_CASE("a VM that stays slow is not in a slow period, even if it was never seen faster")
@@ -96,6 +96,6 @@
     for (int time = 0; time <= 2000; time += 50) {
         slowdown.record(4.0, at(time));
     }
-    CHECK(slowdown.afterSlowPeriod(at(2000)) == 4.0);
+    CHECK(slowdown.recoveredSlowdown(at(2000)) == 4.0);
     CHECK(slowdown.slowPeriodLeft(at(2000)) == Duration{0});
 }
--- a/tests/admission/workqueuepropertytest.cpp
+++ b/tests/admission/workqueuepropertytest.cpp
@@ -34,7 +34,7 @@
     }
 };
 
-/// Records that calls started. They have to have been queued before.
+/// Records that calls started. They must have been queued before.
 void recordStarted(ObservedQueue &observed, const std::vector<CallId> &started)
 {
     for (const CallId call : started) {
@@ -43,8 +43,8 @@
     }
 }
 
-/// Records the calls that expire and those that start then. Expired calls have to have been queued, and their callers
-/// have to be told that nothing ran.
+/// Records the calls that expire and those that start then. Expired calls must have been queued, and their callers
+/// must be told that nothing ran.
 void recordExpired(ObservedQueue &observed)
 {
     for (const ExpiredCall &expired : observed.queue.expire(observed.now)) {
--- a/tests/admission/workqueuetest.cpp
+++ b/tests/admission/workqueuetest.cpp
@@ -32,7 +32,7 @@
     return offer;
 }
 
-/// A queue with six slots in which a read takes 100 ms.
+/// A queue with six slots that has recorded a read of 100 ms.
 WorkQueue trainedQueue()
 {
     WorkQueue queue;
@@ -74,7 +74,7 @@
 }
 
 // Guards against payments that miss their target behind reads. A burst doubles the load for some seconds. In order of
-// arrival, a payment that arrives late would wait behind reads that have missed their target long before.
+// arrival, a payment that arrives late in the burst would wait behind reads that have missed their target long before.
 TEST_CASE("requests that can still meet their target start first, by priority, then the others")
 {
     WorkQueue queue = trainedQueue();
@@ -89,7 +89,7 @@
     CHECK(queue.finish(CallId(3), true, at(30)) == std::vector<CallId>{CallId(10)});
 }
 
-// Guards against requests that are lost on a slow VM. The VM becomes four times slower for some tenths of a second. Its
+// Guards against requests that are late on a slow VM. The VM becomes four times slower for some tenths of a second. Its
 // node knows that, but the senders don't yet: a read of 100 ms with a target of 300 ms misses it there while the next
 // upstream is idle.
 TEST_CASE("a request is declined when the VM is slow and the sender has a better upstream")
@@ -154,7 +154,7 @@
     CHECK(std::holds_alternative<Admitted>(queue.offer(offerOf(1, 0), at(0))));
 }
 
-// Guards against waiting where it only loses time. On some VMs work continues at the baseline speed as soon as a slow
+// Guards against waits that only lose time. On some VMs work continues at the baseline speed as soon as a slow
 // period ends. The queue has to learn this from the durations of the requests.
 TEST_CASE("requests start during slow periods if their speed follows the VM's slowdown")
 {
