--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -72,7 +72,7 @@
         return std::nullopt;
     }
     const auto isBetter = [](const RatedCandidate &left, const RatedCandidate &right) {
-        return std::tie(left.ejected, left.cost) < std::tie(right.ejected, right.cost);
+        return std::tie(left.isEjected, left.cost) < std::tie(right.isEjected, right.cost);
     };
     const std::size_t compared = std::min<std::size_t>(rated_.size(), 2);
     std::partial_sort(rated_.begin(), rated_.begin() + static_cast<std::ptrdiff_t>(compared), rated_.end(), isBetter);
@@ -81,7 +81,7 @@
     choice.candidate = best.candidate;
     choice.expected = fromSeconds(best.seconds);
     choice.link = linkBetween(ownLocation_, request.candidates[best.candidate].location);
-    if (compared > 1 && !rated_[1].ejected) {
+    if (compared > 1 && !rated_[1].isEjected) {
         // The chosen upstream's node measures time without the round trip on the link, so the round trip is subtracted:
         // trying the second-best upstream costs that round trip as well.
         const double target = inSeconds(std::max(request.targetLeft, MinTarget));
@@ -96,7 +96,7 @@
     const PlacementCandidate &item = request.candidates[candidate];
     RatedCandidate rated;
     rated.candidate = candidate;
-    rated.ejected = view_.isEjected(item.upstream, request.now);
+    rated.isEjected = view_.isEjected(item.upstream, request.now);
     double upstreamSeconds = inSeconds(view_.expected(item.upstream, request.demand, request.now));
     if (item.isWarmingUp && view_.isUnknown(item.upstream)) {
         upstreamSeconds *= settings_.warmUpFactor;
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -46,7 +46,7 @@
     /// Expected time from now to the answer, including the round trip on the link.
     Duration expected{0};
     /// If the chosen upstream's node expects to take longer than this, the second-best upstream is the better choice;
-    /// zero if there is no other.
+    /// zero if there is no other that is not ejected.
     Duration declineThreshold{0};
     LinkKind link = LinkKind::InZone;
 };
@@ -60,7 +60,8 @@
     /// Expected times are increased by a random share of up to this value, less if the load report is fresh. Otherwise
     /// nodes with the same old reports would all choose the same upstream.
     double jitter = 0.15;
-    /// Factor by which work takes longer at an upstream that is warming up.
+    /// Factor by which work takes longer at an upstream that is warming up. Applies only until the first load report of
+    /// the upstream's node.
     double warmUpFactor = 1.5;
     LinkPrices prices;
     /// Bytes of an exchange besides its bodies: headers and framing, which are compressed between regions.
@@ -68,8 +69,8 @@
     Bytes regionOverhead{300};
 };
 
-/// The cost of waiting as a share of the worth of an answer in time. @p shareOfTarget is the expected time divided by
-/// the time left until the target.
+/// The cost of waiting, as a share of what an answer that arrives in time is worth. @p shareOfTarget is the expected
+/// time divided by the time left until the target.
 ///
 /// The cost rises slowly while the target will be met anyway, steeply where the target is at risk, and slowly again
 /// when the target will be missed.
@@ -83,9 +84,10 @@
 /// Picks the upstream where a request costs least. The cost consists of time that puts the target at risk and of bytes
 /// on paid links.
 ///
-/// Load pattern: VMs become four times slower for some tenths of a second at a time. This costs far more than crossing
-/// a region, and load reports are nearly as old as such a period is long. A choice is therefore an estimate. The node
-/// beside the upstream knows the current state and may decline the request if the alternative looks better.
+/// Load pattern: VMs become four times slower for some tenths of a second at a time. This costs far more than sending
+/// a request to another region, and load reports are nearly as old as such a period is long. A choice is therefore an
+/// estimate. The node beside the upstream knows the current state and may decline the request if the alternative looks
+/// better.
 ///
 /// Thread safety: none.
 class Placement
@@ -107,7 +109,7 @@
         double linkCost = 0.0;
         /// Total cost of time and bytes.
         double cost = 0.0;
-        bool ejected = false;
+        bool isEjected = false;
     };
 
     [[nodiscard]] RatedCandidate rate(const PlacementRequest &request, std::size_t candidate);
--- a/src/routing/placementview.h
+++ b/src/routing/placementview.h
@@ -23,9 +23,9 @@
     double typicalSlowdown = 1.7;
     /// Time in which the weight of recent failures falls to 1/e.
     Duration failureMemory = std::chrono::seconds{3};
-    /// A request's expected time is multiplied by 1 + failurePenalty * (recent failures seen here)
-    /// + failureShareFactor * (failure share of the upstream's latest answers). This keeps an upstream that fails
-    /// quickly from attracting requests.
+    /// A request's expected time, apart from its arrival delay, is multiplied by
+    /// 1 + failurePenalty * (recent failures seen here) + failureShareFactor * (failure share of the upstream's latest
+    /// answers). This keeps an upstream that fails quickly from attracting requests.
     double failurePenalty = 2.0;
     double failureShareFactor = 4.0;
     /// Whether an upstream without a report is assumed to have the typical load; else it is assumed idle and without
@@ -54,7 +54,7 @@
 /// Slowdown and calls are stored separately, so that a report that arrives with one request can be used for requests of
 /// all routes and priorities.
 ///
-/// Thread safety: none; one owner.
+/// Thread safety: none; one owner. Errors: none.
 class PlacementView
 {
 public:
@@ -95,8 +95,8 @@
         /// quicker.
         double slowPeriodSeconds = 0.0;
         double recoveredSlowdown = 1.0;
-        /// Calls ahead of a request for each slot: of one that goes before all queued calls, and of one that goes
-        /// behind them.
+        /// Calls ahead of a request, divided by the number of slots: for a request that goes before all queued calls,
+        /// and for a request that goes behind them.
         double urgentCallsAhead = 0.0;
         double callsAhead = 0.0;
         double failureShare = 0.0;
--- a/tests/routing/placementtest.cpp
+++ b/tests/routing/placementtest.cpp
@@ -84,8 +84,8 @@
 }
 
 // Guards against a region that is never left, or left too easily. Both upstreams of the region are in a slow period, in
-// which a read of 100 ms takes 400 ms of its 300 ms target. Another region costs 17 ms and two kilobytes on a paid
-// link.
+// which a read of 100 ms takes 400 ms and misses its target of 300 ms. Another region costs 17 ms and two kilobytes on
+// a paid link.
 TEST_CASE("another region is chosen if the target is at risk, not to save a few milliseconds")
 {
     Fixture fixture;
