--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -52,8 +52,8 @@
 public:
     explicit Quarantine(const QuarantineSettings &settings = {});
 
-    /// Sets the requests that operators allow: they are run and never suspected, whatever crashes. Replaces the earlier
-    /// list, and forgets what is known of the requests on the new one.
+    /// Sets the requests that operators allow: they are run and never suspected, whatever upstreams crash. Replaces the
+    /// earlier list, and forgets what is known about the requests of the new list.
     void setAllowed(const std::vector<RequestFingerprint> &requests);
     /// Records that the upstream beside this node has crashed with the requests @p held under way.
     CrashResult recordCrash(const UpstreamCrash &crash, const std::vector<RequestFingerprint> &held, TimePoint now);
--- a/src/quarantine/quarantinegossip.h
+++ b/src/quarantine/quarantinegossip.h
@@ -46,9 +46,9 @@
     /// The nodes to which this node, whose address is @p own, passes on refused requests in one round. Chosen at
     /// random.
     [[nodiscard]] std::vector<Endpoint> gossipTargets(const InstanceDirectory &directory, const Endpoint &own);
-    /// Adds newly refused requests to the next round. Returns when the round is due, or nothing if an earlier call has
-    /// returned that already or nothing is to be passed on. Requests above the maximum age are left out: they have gone
-    /// through the fleet, and a node that has just started need not pass them on again.
+    /// Adds newly refused requests to the next round. Returns when the round is due, or nothing if the round is already
+    /// scheduled or contains no request. Requests older than maxGossipAge are left out: they have gone through the
+    /// fleet, and a node that has just started need not pass them on again.
     [[nodiscard]] std::optional<TimePoint> enqueue(const std::vector<SuspectedRequest> &refused, TimePoint now);
     /// Starts the round and returns the requests to pass on in it. Precondition: the round is due.
     [[nodiscard]] std::vector<SuspectedRequest> takePending(TimePoint now);
--- a/src/quarantine/suspectedrequest.h
+++ b/src/quarantine/suspectedrequest.h
@@ -24,10 +24,10 @@
 /// stands for the empty set.
 using QuarantineDigest = StrongType<struct QuarantineDigestTag, std::uint64_t>;
 
-/// What one node reports to another of suspected and refused requests.
+/// What one node reports to another about suspected and refused requests.
 struct QuarantineUpdate
 {
-    /// Of all requests that the sender refuses.
+    /// Digest of all requests that the sender refuses.
     QuarantineDigest digest;
     std::vector<SuspectedRequest> requests;
 };
--- a/src/quarantine/upstreamcrash.h
+++ b/src/quarantine/upstreamcrash.h
@@ -8,8 +8,8 @@
 namespace Egretpath
 {
 
-/// Identifies one crash of an upstream. Drawn at random by the node beside the upstream, the only one that sees the
-/// crash.
+/// Identifies one crash of an upstream. Drawn at random by the node beside the upstream, the only node that sees
+/// the crash.
 using UpstreamCrashId = StrongType<struct UpstreamCrashIdTag, std::uint64_t>;
 
 /// One crash of an upstream, as evidence against the requests that it held.
--- a/src/quarantine/upstreamexits.h
+++ b/src/quarantine/upstreamexits.h
@@ -11,9 +11,9 @@
 
 /// Distinguishes an upstream that goes down and up by itself from an upstream that a request crashes.
 ///
-/// Load pattern: upstreams flap, each time with other requests under way. A harmless request that its caller then sends
-/// to another upstream may be under way at a second exit, and would be refused. Thread safety: none; one owner. Errors:
-/// none.
+/// Load pattern: upstreams flap, each time with different requests under way. A harmless request that its caller then
+/// sends to another upstream may be under way at a second exit, and would be refused. Thread safety: none; one owner.
+/// Errors: none.
 class UpstreamExits
 {
 public:
