--- a/src/idempotency/callstate.h
+++ b/src/idempotency/callstate.h
@@ -19,7 +19,9 @@
     Repeatable,
     /// The call may run once. A further try is sent only after each earlier try is proved not run.
     Once,
-    /// The call may run once for its key, counted over all calls that carry the key.
+    /// The call may run once for its key, counted over all calls that carry the key. The upstream of the first try is
+    /// the
+    /// owner of the key, which recognizes repeated calls.
     OncePerKey,
 };
 
@@ -56,9 +58,9 @@
 class CallState
 {
 public:
-    /// Precondition: @p maxTries is at least 1. It limits how often the call is sent, so it may be larger than 1 for a
-    /// call that may run once: such a call is sent again only after a proof that it did not run, or to the owner of its
-    /// key.
+    /// Precondition: @p maxTries is at least 1. It limits the number of tries that are started, sent or not. It may be
+    /// larger than 1 for a call that may run once: such a call is sent again only after a proof that it did not run, or
+    /// to the owner of its key.
     CallState(IngressCallId id, Repetition repetition, std::uint32_t maxTries, TimePoint deadline);
 
     /// Prepares a try. Nothing may be sent before permitSending().
@@ -82,7 +84,7 @@
     [[nodiscard]] std::optional<Failure> giveUp(Reason reason, Milliseconds retryAfter = Milliseconds{0},
                                                 std::string detail = {});
 
-    /// Ends the call with a failure that was found before any try was started, such as one of KeyRouter. Same as
+    /// Ends the call with a failure that was found before any try was started, such as a malformed key. Same as
     /// giveUp() if a try was started.
     [[nodiscard]] std::optional<Failure> refuse(const Failure &failure);
 
--- a/tests/idempotency/latenessguardtest.cpp
+++ b/tests/idempotency/latenessguardtest.cpp
@@ -12,7 +12,7 @@
 
 }
 
-TEST_CASE("the delay of a call is what its transit time exceeds the minimum by, whatever the peer's clock shows")
+TEST_CASE("the delay of a call is the excess of its transit time over the minimum, whatever the peer's clock shows")
 {
     for (const Duration offset : {Duration(0s), Duration(500h), Duration(-3h)}) {
         LatenessGuard guard;
