--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -14,11 +14,11 @@
 
 /// Whether and in which role a node reads the store.
 enum class StoreReading : std::uint8_t {
-    /// It does not read the store. It gets its updates from another node.
+    /// The node does not read the store. It gets its updates from another node.
     None,
-    /// It reads for itself and for the nodes that follow it.
+    /// The node reads for itself and for the nodes that follow it.
     Reader,
-    /// It reads in place of other nodes, with long pauses between calls while the store is unavailable.
+    /// The node reads in place of other nodes, with long pauses between calls while the store is unavailable.
     Standby,
 };
 
@@ -49,9 +49,9 @@
 
 /// Decides which node this node follows, when it queries which node, and whether it reads the platform's store itself.
 ///
-/// Load pattern: the store is unavailable for seconds, and at its worst moment every node of a fleet that lost its
-/// readers calls it. To avoid this, only the few readers and a few standbys for them keep calling the store. The other
-/// nodes keep their sources, which tell them that the store is unavailable and when it is back.
+/// Load pattern: the store is unavailable for seconds. The fleet loses its readers, and all its nodes call the store at
+/// the store's worst moment. To avoid this, only the few readers and a few standbys for them keep calling the store.
+/// The other nodes keep their sources, which tell them that the store is unavailable and when it is back.
 ///
 /// If the store refuses some nodes only, a node that lost its source finds a working reader by querying substitutes:
 /// standbys first, then readers of other regions. In addition, the whole fleet probes the store about once in a second,
@@ -85,7 +85,7 @@
     /// Whether to probe the store now. Returns true once for each probe.
     [[nodiscard]] bool wantsStoreProbe(TimePoint now);
 
-    /// The store state to report to other nodes. @p isRecovering: entries may be missing since this node's own reads
+    /// The store state to report to other nodes. @p isRecovering: entries may be missing because this node's own reads
     /// failed.
     [[nodiscard]] StoreState store(TimePoint now, bool isRecovering) const;
     /// Number of nodes between this node and the store; 0 while this node reads the store or follows no node.
@@ -105,7 +105,8 @@
     }
     /// When the reader that this node gets its updates from last read the store.
     [[nodiscard]] TimePoint lastStoreReadAt() const { return lastStoreReadAt_; }
-    /// The last time at which a node is known to have read the store. Records that expired unseen expired after it.
+    /// The last time at which a node is known to have read the store. Records that
+    /// expired without this node seeing it expired after that time.
     [[nodiscard]] TimePoint lastStoreAvailable() const { return lastStoreAvailable_; }
     /// When this node's own calls to the store began to fail; nothing while they succeed.
     [[nodiscard]] const std::optional<TimePoint> &ownReadsFailingSince() const { return ownReadsFailingSince_; }
--- a/src/instances/catalogtimes.h
+++ b/src/instances/catalogtimes.h
@@ -11,7 +11,8 @@
 /// so that they can be added up.
 struct CatalogTimes
 {
-    /// Interval at which held records are checked and at which a node without another source queries peers.
+    /// Interval at which held records (see InstanceDirectory) are checked and at which a node without another source
+    /// queries peers.
     Milliseconds checkInterval{300};
     /// The store must be unreachable for this long before it counts as lost. Most losses are one refused call.
     Milliseconds storeLossTolerance{250};
@@ -56,7 +57,7 @@
     std::uint8_t steps = 1;
     /// Time for reading a large table from the store on a link of little bandwidth.
     Milliseconds read{300};
-    /// Time of one step: the transfer, the copies for other nodes on the same link, and the read.
+    /// Time of one step: the transfer, the copies for other nodes on the same link, and the parsing.
     Milliseconds step{100};
 };
 
--- a/src/instances/readerelection.h
+++ b/src/instances/readerelection.h
@@ -18,8 +18,8 @@
     /// watches stay under a fifth of the store's 2,000 reads a second.
     std::size_t nodesPerReader = 64;
     /// Followers of each node. A query and its answer take 320 bytes. Three followers' queries and the node's own query
-    /// each .7 s are 1.8 KB/s, under the 3 KB/s that a node may spend. An update takes four steps from the store to the
-    /// last node.
+    /// every .7 s are 1.8 KB/s, under the 3 KB/s that a node may spend. An update takes four steps from the store to
+    /// the last node.
     std::size_t followersPerNode = 3;
     /// Standbys for each reader, which read the store while the reader can't.
     std::size_t standbysPerReader = 2;
--- a/src/routes/routetable.h
+++ b/src/routes/routetable.h
@@ -29,7 +29,7 @@
     Upload,
 };
 
-/// Returns the stable name of @p kind in logs. Thread safety: safe.
+/// Returns the stable word for @p kind in logs. Thread safety: safe.
 [[nodiscard]] std::string_view toString(RequestKind kind);
 
 /// A service that takes part of a route's requests.
--- a/src/routes/trafficsplit.h
+++ b/src/routes/trafficsplit.h
@@ -11,10 +11,10 @@
 
 /// Distributes the requests of each route over its destinations in proportion to their weights.
 ///
-/// Uses smooth weighted round robin: after any number of requests, the count of each destination is less than one
-/// request away from its share. With a random draw the error would be about the square root of the count. Each route
-/// starts with random credits that depend on the seed, so that many nodes with few requests each do not all start with
-/// the same destination. Thread safety: none; one owner. Errors: none.
+/// Uses smooth weighted round robin, which keeps the count of each destination less than one request away from its
+/// share. With a random draw the error would be about the square root of the count. Each route starts with random
+/// credits that depend on the seed, so that many nodes with few requests each do not all start with the same
+/// destination. These credits add less than one request to the error. Thread safety: none; one owner. Errors: none.
 class TrafficSplit
 {
 public:
--- a/src/sidecar/catalogbootstrap.cpp
+++ b/src/sidecar/catalogbootstrap.cpp
@@ -27,8 +27,8 @@
 }
 
 /// Guards against seeds on VMs that are down: a connection to such a VM hangs, and a node that waited for one seed
-/// after another would refuse all its callers meanwhile. So the next seed is asked before the first one has failed, and
-/// after all seeds the store.
+/// after another would refuse all its callers meanwhile. So the next seed is asked before the first one has failed. If
+/// callers wait, the store is also read before a silent seed has failed.
 asio::awaitable<void> CatalogBootstrap::run()
 {
     std::vector<Endpoint> seeds = state_.settings.seeds;
--- a/src/sidecar/catalogbootstrap.h
+++ b/src/sidecar/catalogbootstrap.h
@@ -29,8 +29,8 @@
 
 /// Asks the seeds, which are the nodes that the settings name, for routes and list while a node starts.
 ///
-/// Load pattern: a fleet that starts at once, or one VM after another. Each of its nodes would read everything from the
-/// store. Thread safety: none. Precondition: references outlive the object and its coroutines.
+/// Load pattern: a whole fleet starts, at once or one VM after another, and each of its nodes would read everything
+/// from the store. Thread safety: none. Precondition: references outlive the object and its coroutines.
 class CatalogBootstrap
 {
 public:
--- a/src/sidecar/catalogcontents.cpp
+++ b/src/sidecar/catalogcontents.cpp
@@ -84,7 +84,7 @@
         log_.logRefusedEntry(peer.value(), routes.error().detail);
         return;
     }
-    // The version that the peer announced may differ from that of the routes it sent.
+    // The version that the peer announced may differ from the version of the routes that it sent.
     if (routes.value().table->version() > versions().routes) {
         activateRoutes(std::move(routes.value().table), catalog.routes,
                        {peer.value(), catalog.routesAge, catalog.routes.bytes.size()});
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -56,7 +56,7 @@
         const CatalogRequest catalogRequest = makeRequest(times_.seedWait, StoreState::Available);
         return ask(std::move(seed), catalogRequest, times_.seedWait + times_.followMargin);
     };
-    callbacks.applyAnswer = [this](const Endpoint &seed, const Catalog &catalog) { followIfComplete(seed, catalog); };
+    callbacks.applyAnswer = [this](const Endpoint &seed, const Catalog &catalog) { followIfHasRoutes(seed, catalog); };
     callbacks.isFollowing = [this] { return plan_.following().has_value(); };
     callbacks.hasRoutes = [this] { return contents_.versions().routes.value() > 0; };
     return callbacks;
@@ -174,8 +174,8 @@
     wakeWaitingRequests();
 }
 
-/// Guards against mass expiry: while the store is unavailable, leases can't be renewed, so that those of upstreams that
-/// are alive expire.
+/// Guards against mass expiry: while the store is unavailable, leases can't be renewed, and the leases of upstreams
+/// that are alive expire.
 void CatalogController::applyStoreState()
 {
     const bool ownReadingFails = reading_ != StoreReading::None && plan_.ownReadsFailingSince();
@@ -266,7 +266,7 @@
 
 /// Used while this node starts. Follows @p peer whatever the state of its store: a node that took routes but follows
 /// nobody would get no further updates.
-void CatalogController::followIfComplete(const Endpoint &peer, const Catalog &catalog)
+void CatalogController::followIfHasRoutes(const Endpoint &peer, const Catalog &catalog)
 {
     if (catalog.versions.routes.value() > 0) {
         handleAnswer(peer, catalog);
@@ -395,9 +395,9 @@
     }
 }
 
-CatalogRequest CatalogController::makeRequest(Milliseconds wait, StoreState known) const
+CatalogRequest CatalogController::makeRequest(Milliseconds wait, StoreState knownState) const
 {
-    return {contents_.versions(), wait, known};
+    return {contents_.versions(), wait, knownState};
 }
 
 asio::awaitable<Result<Catalog>> CatalogController::ask(Endpoint peer, CatalogRequest request, Milliseconds timeout)
@@ -436,7 +436,7 @@
         if (hasBootstrapped_) {
             (void)applyCatalog(peer, catalog.value());
         } else {
-            followIfComplete(peer, catalog.value());
+            followIfHasRoutes(peer, catalog.value());
         }
     }
 }
--- a/src/sidecar/catalogcontroller.h
+++ b/src/sidecar/catalogcontroller.h
@@ -62,7 +62,8 @@
     void onStoreCalled(std::string_view call, std::string_view outcome) override { log_.countStoreCall(call, outcome); }
 
 private:
-    /// A node that has newer versions than this one. @p since is when this node first learned that any node has.
+    /// A node that has newer versions than this one. `since` is when this node first learned of newer versions, from
+    /// any node.
     struct NewerPeer
     {
         Endpoint peer;
@@ -74,14 +75,15 @@
     /// Gets routes and list from a seed, or from the store if no seed has them; then follows other nodes.
     boost::asio::awaitable<void> bootstrapAndFollow();
     [[nodiscard]] CatalogBootstrapCallbacks bootstrapCallbacks();
-    void followIfComplete(const Endpoint &peer, const Catalog &catalog);
+    void followIfHasRoutes(const Endpoint &peer, const Catalog &catalog);
     boost::asio::awaitable<void> followOthers();
     /// Returns whether to send the next query without a pause.
     boost::asio::awaitable<bool> querySource(SourceQuery query);
-    /// Called before @p catalog is applied. Checks whether this node can reach the store if upstreams would be removed
-    /// that did not announce that they drain, or if this node counts as cut off.
+    /// Called before @p catalog is applied. If the catalog removes upstreams that did not announce that they drain, or
+    /// if this node counts as cut off, checks whether this node can reach the store.
     boost::asio::awaitable<void> checkOwnStoreAccess(const Catalog &catalog);
-    /// Sends a single cheap call to the store, from time to time, while other nodes report it unavailable.
+    /// Sends a single cheap call to the store. Called from time to time while other nodes report the store as
+    /// unavailable.
     boost::asio::awaitable<void> probeStore();
     boost::asio::awaitable<void> askPeers();
     boost::asio::awaitable<void> catchUp();
@@ -89,7 +91,7 @@
     [[nodiscard]] boost::asio::awaitable<Result<Catalog>> ask(Endpoint peer, CatalogRequest request,
                                                               Milliseconds timeout);
     [[nodiscard]] std::vector<Endpoint> peersToAsk();
-    [[nodiscard]] CatalogRequest makeRequest(Milliseconds wait, StoreState known) const;
+    [[nodiscard]] CatalogRequest makeRequest(Milliseconds wait, StoreState knownState) const;
     void handleAnswer(const Endpoint &peer, const Catalog &catalog);
     [[nodiscard]] bool applyCatalog(const Endpoint &peer, const Catalog &catalog);
     /// Starts or stops reading the store, as the plan says.
@@ -122,7 +124,7 @@
     bool hasBootstrapped_ = false;
     /// Only this node's connection to the store is lost. Upstreams whose leases expire are likely to be cut off too.
     bool isCutOff_ = false;
-    /// What the directory was last told.
+    /// Whether the directory was last told that the store is lost.
     bool isStoreLost_ = false;
     std::optional<NewerPeer> newerPeer_;
     /// Wakes the requests that wait for an update. Never expires; cancelled when the routes, the list or the store's
--- a/src/sidecar/cataloglog.cpp
+++ b/src/sidecar/cataloglog.cpp
@@ -59,16 +59,16 @@
     log_.info(line);
 }
 
-void CatalogLog::logFollowStarted(const Endpoint &reader, unsigned hops)
+void CatalogLog::logFollowStarted(const Endpoint &followed, unsigned hops)
 {
-    log_.info(StructuredLine("follow").add("reader", reader.value()).add("hops", std::uint64_t{hops}));
+    log_.info(StructuredLine("follow").add("reader", followed.value()).add("hops", std::uint64_t{hops}));
 }
 
-void CatalogLog::logFollowEnded(const Endpoint &reader, std::string_view reason, Duration silentFor)
+void CatalogLog::logFollowEnded(const Endpoint &followed, std::string_view reason, Duration silentFor)
 {
     StructuredLine line("follow");
     line.add("reader", "none")
-        .add("was", reader.value())
+        .add("was", followed.value())
         .add("why", reason)
         .add("unheard_ms", millisecondsOf(silentFor));
     log_.info(line);
--- a/src/sidecar/cataloglog.h
+++ b/src/sidecar/cataloglog.h
@@ -45,8 +45,8 @@
     void recordListAge(const UpdateOrigin &origin);
     /// Logs that the list as a whole changed; @p change is the kind of change.
     void logList(const InstanceDirectory &directory, std::string_view from, std::string_view change);
-    void logFollowStarted(const Endpoint &reader, unsigned hops);
-    void logFollowEnded(const Endpoint &reader, std::string_view reason, Duration silentFor);
+    void logFollowStarted(const Endpoint &followed, unsigned hops);
+    void logFollowEnded(const Endpoint &followed, std::string_view reason, Duration silentFor);
     /// The state of the store that this node reports to others.
     void logStoreState(StoreState state);
     /// Whether only this node's own connection to the store is lost.
--- a/src/sidecar/quarantinecontroller.h
+++ b/src/sidecar/quarantinecontroller.h
@@ -16,13 +16,13 @@
 namespace Egretpath
 {
 
-/// Exchanges with other nodes which requests crash upstreams.
+/// Shares with other nodes the knowledge of requests that crash upstreams.
 ///
-/// A crash is reported to the collectors of its service, which are the nodes that combine all its crashes. A request
-/// that is refused from then on is forwarded from node to node. A node that missed it, since it has just started or was
-/// cut off, learns of it from the next answer of any node that refuses other requests than it does. Both the answer to
-/// a call and the answer to a catalog request carry the digest that shows this. Thread safety: none. Precondition:
-/// references outlive the controller.
+/// A crash is reported to the collectors of the upstream's service: the nodes that combine all crashes of the service.
+/// A request that is refused from then on is forwarded from node to node. A node that missed the request, because
+/// it has just started or was cut off, learns of it from the next answer of any node that refuses a different set of
+/// requests. Both the answer to a call and the answer to a catalog request carry the digest that shows this. Thread
+/// safety: none. Precondition: references outlive the controller.
 class QuarantineController
 {
 public:
@@ -43,7 +43,7 @@
     [[nodiscard]] std::string csvText() const;
 
 private:
-    /// Sends @p requests to @p node, several times if it does not answer, and applies the further ones of its answer.
+    /// Sends @p requests to @p node, several times if it does not answer, and applies the requests in its answer.
     boost::asio::awaitable<void> sendUpdate(Endpoint node, std::vector<SuspectedRequest> requests);
     void reportCrashes(const std::vector<SuspectedRequest> &known);
     /// Applies what @p from reported, and forwards what is new.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -111,7 +111,7 @@
                            [this](HttpExchange &exchange) { return serveReadiness(exchange); })
         , operatorServer_(executor_, probeLimits(), [this](HttpExchange &exchange) { return serveOperators(exchange); })
     {
-        applyRepeatLimits();
+        applyRetryLimits();
         ingress_.setLinkPrices(state_.settings.linkPrices);
         if (decisions.compressesPaidLinks) {
             peerClient_.setPaidLinks([this](const Endpoint &peer) { return isInOtherRegion(peer); });
@@ -160,7 +160,7 @@
         state_.settings.linkPrices = settings.linkPrices;
         state_.settings.allowedRequests = settings.allowedRequests;
         quarantine_.applySettings();
-        applyRepeatLimits();
+        applyRetryLimits();
         ingress_.setLinkPrices(state_.settings.linkPrices);
         state_.log.info(StructuredLine("reload").add("seeds", std::uint64_t{settings.seeds.size()}));
     }
@@ -232,7 +232,7 @@
         state_.log.info(line);
     }
 
-    void applyRepeatLimits() { ingress_.setRetryLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
+    void applyRetryLimits() { ingress_.setRetryLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
 
     void catalogChanged()
     {
--- a/tests/instances/catalogfleet.h
+++ b/tests/instances/catalogfleet.h
@@ -13,8 +13,8 @@
 namespace Egretpath
 {
 
-/// Many CatalogPlans in virtual time, with a simulated store and network delays. It counts the calls to the store and
-/// shows for each node the store state that it reports and whether it has the latest change.
+/// Many CatalogPlans in virtual time, with a simulated store and network delays. It counts the calls to the store,
+/// the nodes that report each store state and the nodes that have the latest change.
 class CatalogFleet
 {
 public:
--- a/tests/sidecar/catalogtest.cpp
+++ b/tests/sidecar/catalogtest.cpp
@@ -164,7 +164,7 @@
     });
 }
 
-// Guards against a starting fleet of which every node reads everything from the store. A node gets a list from its seed
+// Guards against a starting fleet in which every node reads everything from the store. A node gets a list from its seed
 // that is still empty, and so takes itself for the only node of its region.
 TEST_CASE("a node that is not listed yet keeps following the seed that it started from")
 {
--- a/tests/sidecar/crashingrequesttest.cpp
+++ b/tests/sidecar/crashingrequesttest.cpp
@@ -215,8 +215,8 @@
     });
 }
 
-// Guards against a request that is still running when it comes to be refused, and then crashes one more upstream.
-TEST_CASE("a run of a request is cancelled when the request comes to be refused")
+// Guards against a request that is still running when the nodes begin to refuse it, and then crashes one more upstream.
+TEST_CASE("a run of a request is cancelled when the nodes begin to refuse the request")
 {
     CrashingService service;
     service.upstreams[0]->runDuration = Milliseconds(400);
--- a/tests/sidecar/fakeupstream.h
+++ b/tests/sidecar/fakeupstream.h
@@ -45,6 +45,7 @@
     Milliseconds restartTime{100};
     /// Answers lack the signature that proves that they are the upstream's.
     bool omitsSignature = false;
+    /// The slowdown that the upstream reports, in percent of the baseline.
     std::uint16_t slowdown = 100;
 
 private:
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -33,8 +33,8 @@
     CHECK(std::stoi(used.lastHeader("X-Egretpath-Deadline-Ms")) > 500);
 }
 
-// Guards against an upload that crashes its node: it is sent to another node only after that node has said that it
-// would accept it.
+// Guards against an upload that crashes its node: an upload is sent to another node only after that node has said that
+// it would accept the upload.
 TEST_CASE("uploads go to another node that said it would accept them")
 {
     constexpr int Uploads = 6;
