--- a/tests/sidecar/catalogtest.cpp
+++ b/tests/sidecar/catalogtest.cpp
@@ -31,7 +31,7 @@
     Deployment deployment;
     FakeUpstream &upstream = deployment.addUpstream("i-3");
     deployment.catalog.isUnreachable = true;
-    FakeNode &late = deployment.addNode(upstream, "statements", {deployment.first.peers});
+    TestNode &late = deployment.addNode(upstream, "statements", {deployment.first.peers});
     deployment.run([&]() -> asio::awaitable<void> {
         std::uint16_t ready = 0;
         for (int attempt = 0; attempt < 40 && ready != 200; ++attempt) {
@@ -66,7 +66,7 @@
         const auto port = silentSeeds.emplace_back(stopped, anyPort).local_endpoint().port();
         seeds.emplace_back("127.0.0.1:" + std::to_string(port));
     }
-    FakeNode &early = deployment.addNode(upstream, "statements", seeds);
+    TestNode &early = deployment.addNode(upstream, "statements", seeds);
     deployment.run([&]() -> asio::awaitable<void> {
         checkStatus(co_await deployment.send(early.callers, "GET", "/read/1", "early"), 503);
         co_await deployment.sleep(Milliseconds(400));
@@ -82,12 +82,12 @@
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         deployment.catalog.publishRoutes(20);
         co_await deployment.sleep(Milliseconds(100));
-        for (const FakeNode *node : {&deployment.first, &deployment.second}) {
+        for (const TestNode *node : {&deployment.first, &deployment.second}) {
             checkStatus(co_await deployment.send(node->callers, "GET", "/v20/1", "n-" + node->callers.value()), 200);
         }
         deployment.catalog.remove("i-1");
         co_await deployment.sleep(Milliseconds(100));
-        for (const FakeNode *node : {&deployment.first, &deployment.second}) {
+        for (const TestNode *node : {&deployment.first, &deployment.second}) {
             const Reply reply = co_await deployment.send(node->callers, "GET", "/read/1", "l-" + node->callers.value());
             CHECK(reply.body.starts_with("i-2:"));
         }
@@ -102,7 +102,7 @@
     deployment.run([&]() -> asio::awaitable<void> {
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         const std::size_t reader = deployment.catalog.isReading(0) ? 0 : 1;
-        FakeNode &follower = reader == 0 ? deployment.second : deployment.first;
+        TestNode &follower = reader == 0 ? deployment.second : deployment.first;
         deployment.catalog.stopUpdatesTo(reader);
         deployment.catalog.lose(reader);
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 2; }));
@@ -119,7 +119,7 @@
     deployment.run([&]() -> asio::awaitable<void> {
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         const bool firstReads = deployment.catalog.isReading(0);
-        FakeNode &reader = firstReads ? deployment.first : deployment.second;
+        TestNode &reader = firstReads ? deployment.first : deployment.second;
         FakeUpstream &own = firstReads ? deployment.one : deployment.two;
         FakeUpstream &other = firstReads ? deployment.two : deployment.one;
         // The reader gets no further updates; the other node gets the change.
@@ -148,8 +148,8 @@
     deployment.run([&]() -> asio::awaitable<void> {
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         const bool firstReads = deployment.catalog.isReading(0);
-        FakeNode &reader = firstReads ? deployment.first : deployment.second;
-        FakeNode &follower = firstReads ? deployment.second : deployment.first;
+        TestNode &reader = firstReads ? deployment.first : deployment.second;
+        TestNode &follower = firstReads ? deployment.second : deployment.first;
         const std::string expired = firstReads ? "i-2" : "i-1";
         const std::string remaining = firstReads ? "i-1" : "i-2";
         deployment.catalog.isCutOff = true;
@@ -171,11 +171,11 @@
     SidecarFixture fixture;
     FakeUpstream &one = fixture.addUpstream("i-1");
     FakeUpstream &two = fixture.addUpstream("i-2");
-    FakeNode &seed = fixture.addNode(one, "statements");
+    TestNode &seed = fixture.addNode(one, "statements");
     fixture.catalog.publishRoutes(10);
     fixture.catalog.remove("i-1");
     fixture.catalog.publishList();
-    FakeNode &late = fixture.addNode(two, "statements", {seed.peers});
+    TestNode &late = fixture.addNode(two, "statements", {seed.peers});
     fixture.catalog.remove("i-2");
     fixture.run([&]() -> asio::awaitable<void> {
         co_await fixture.sleep(Milliseconds(1500));
@@ -207,7 +207,7 @@
                 CHECK(deployment.catalog.readerCount() == 1);
             }
             const std::string target = "/v" + std::to_string(version) + "/1";
-            for (const FakeNode *node : {&deployment.first, &deployment.second}) {
+            for (const TestNode *node : {&deployment.first, &deployment.second}) {
                 checkStatus(co_await deployment.send(node->callers, "GET", target, target + node->callers.value()),
                             200);
             }
@@ -221,7 +221,7 @@
     constexpr int Nodes = 8;
     constexpr std::chrono::seconds Outage{6};
     SidecarFixture fixture;
-    std::vector<FakeNode *> nodes;
+    std::vector<TestNode *> nodes;
     nodes.reserve(Nodes);
     for (int number = 0; number < Nodes; ++number) {
         nodes.push_back(&fixture.addNode(fixture.addUpstream("i-" + std::to_string(number)), "statements"));
@@ -234,14 +234,14 @@
         co_await fixture.sleep(Outage);
         // The reader and its two standby nodes.
         CHECK(fixture.catalog.readerCount() <= 3);
-        for (const FakeNode *node : nodes) {
+        for (const TestNode *node : nodes) {
             checkStatus(co_await fixture.send(node->callers, "GET", "/read/1", "away-" + node->callers.value()), 200);
         }
         fixture.catalog.setUnavailable(false);
         co_await fixture.sleep(Milliseconds(2000));
         fixture.catalog.publishRoutes(20);
         co_await fixture.sleep(Milliseconds(200));
-        for (const FakeNode *node : nodes) {
+        for (const TestNode *node : nodes) {
             checkStatus(co_await fixture.send(node->callers, "GET", "/v20/1", "back-" + node->callers.value()), 200);
         }
         CHECK(fixture.catalog.readerCount() == 1);
@@ -255,7 +255,7 @@
     constexpr int LateNodes = 4;
     constexpr Milliseconds ActiveWithin{1500};
     Deployment deployment;
-    std::vector<FakeNode *> late;
+    std::vector<TestNode *> late;
     late.reserve(LateNodes);
     deployment.run([&]() -> asio::awaitable<void> {
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
@@ -269,7 +269,7 @@
         deployment.catalog.setUnavailable(false);
         deployment.catalog.publishRoutes(30);
         co_await deployment.sleep(ActiveWithin);
-        for (const FakeNode *node : late) {
+        for (const TestNode *node : late) {
             checkStatus(co_await deployment.send(node->callers, "GET", "/v30/1", "late-" + node->callers.value()), 200);
         }
     });
--- a/tests/sidecar/crashingrequesttest.cpp
+++ b/tests/sidecar/crashingrequesttest.cpp
@@ -39,14 +39,14 @@
     asio::awaitable<void> sendCrashing(std::string method, std::string path, int attempts, std::string body = {})
     {
         for (int attempt = 0; attempt < attempts; ++attempt) {
-            const FakeNode &node = *nodes[static_cast<std::size_t>(attempt) % nodes.size()];
+            const TestNode &node = *nodes[static_cast<std::size_t>(attempt) % nodes.size()];
             lastReply =
                 co_await send(node.callers, method, path, path + std::to_string(attempt), Milliseconds(700), body);
             co_await sleep(Milliseconds(40));
         }
     }
 
-    asio::awaitable<void> sendOne(const FakeNode &node, std::string method, std::string path, std::string id,
+    asio::awaitable<void> sendOne(const TestNode &node, std::string method, std::string path, std::string id,
                                   Milliseconds timeout = Milliseconds(700))
     {
         lastReply = co_await send(node.callers, method, path, id, timeout);
@@ -54,7 +54,7 @@
 
     asio::awaitable<void> sendUnrelated(int number, std::vector<std::uint16_t> &statuses)
     {
-        const FakeNode &node = *nodes[static_cast<std::size_t>(number) % nodes.size()];
+        const TestNode &node = *nodes[static_cast<std::size_t>(number) % nodes.size()];
         const std::string name = "other-" + std::to_string(number);
         co_await sleep(Milliseconds(10 * number));
         const Reply reply = co_await send(node.callers, "GET", "/read/" + name, name);
@@ -88,7 +88,7 @@
     }
 
     std::vector<FakeUpstream *> upstreams;
-    std::vector<FakeNode *> nodes;
+    std::vector<TestNode *> nodes;
     Reply lastReply;
 };
 
@@ -121,7 +121,7 @@
     CrashingService service;
     service.run([&]() -> asio::awaitable<void> {
         for (int number = 0; number < 8; ++number) {
-            const FakeNode &node = *service.nodes[static_cast<std::size_t>(number) % service.nodes.size()];
+            const TestNode &node = *service.nodes[static_cast<std::size_t>(number) % service.nodes.size()];
             asio::co_spawn(co_await asio::this_coro::executor,
                            service.sendOne(node, "GET", CrashingPath, "together" + std::to_string(number)),
                            asio::detached);
@@ -163,7 +163,7 @@
     service.upstreams[2]->slowdown = 400;
     service.upstreams[3]->slowdown = 400;
     service.run([&]() -> asio::awaitable<void> {
-        const FakeNode &node = *service.nodes[0];
+        const TestNode &node = *service.nodes[0];
         for (int number = 0; number < 8; ++number) {
             (void)co_await service.send(node.callers, "GET", "/read/" + std::to_string(number), std::to_string(number));
         }
@@ -205,7 +205,7 @@
         co_await service.sendCrashing("GET", CrashingPath, 6);
         FakeUpstream &upstream = service.addUpstream("i-new");
         upstream.crashesOn = CrashingPath;
-        const FakeNode &node = service.addNode(upstream, "statements", {service.nodes[0]->peers});
+        const TestNode &node = service.addNode(upstream, "statements", {service.nodes[0]->peers});
         service.catalog.publishList();
         co_await service.sleep(Milliseconds(100));
         const Reply reply = co_await service.send(node.callers, "GET", CrashingPath, "at the new one");
--- a/tests/sidecar/deployment.h
+++ b/tests/sidecar/deployment.h
@@ -43,8 +43,8 @@
 
     FakeUpstream &one;
     FakeUpstream &two;
-    FakeNode &first;
-    FakeNode &second;
+    TestNode &first;
+    TestNode &second;
 };
 
 }
--- a/tests/sidecar/sidecarfixture.cpp
+++ b/tests/sidecar/sidecarfixture.cpp
@@ -37,7 +37,7 @@
                     + std::to_string(1 + count % 250) + ":" + std::to_string(FirstPort + count));
 }
 
-SidecarSettings settingsOf(const FakeNode &node, const FakeUpstream &upstream, const std::string &service,
+SidecarSettings settingsOf(const TestNode &node, const FakeUpstream &upstream, const std::string &service,
                            const std::vector<Endpoint> &seeds)
 {
     SidecarSettings settings;
@@ -71,10 +71,10 @@
     return *upstreams_.emplace_back(std::make_unique<FakeUpstream>(eventLoop_.context().get_executor(), id));
 }
 
-FakeNode &SidecarFixture::addNode(const FakeUpstream &upstream, const std::string &service,
+TestNode &SidecarFixture::addNode(const FakeUpstream &upstream, const std::string &service,
                                   const std::vector<Endpoint> &seeds)
 {
-    FakeNode &node = *nodes_.emplace_back(std::make_unique<FakeNode>());
+    TestNode &node = *nodes_.emplace_back(std::make_unique<TestNode>());
     node.callers = uniqueEndpoint();
     node.ready = uniqueEndpoint();
     node.peers = uniqueEndpoint();
@@ -91,7 +91,7 @@
     return node;
 }
 
-void SidecarFixture::putBehindLink(const FakeNode &node, const FakeUpstream &upstream, const std::string &service,
+void SidecarFixture::putBehindLink(const TestNode &node, const FakeUpstream &upstream, const std::string &service,
                                    std::uint64_t bytesPerSecond)
 {
     StandinRelay &link = *links_.emplace_back(
--- a/tests/sidecar/sidecarfixture.h
+++ b/tests/sidecar/sidecarfixture.h
@@ -27,7 +27,7 @@
 };
 
 /// One node of the deployment, with the addresses of its listeners.
-struct FakeNode
+struct TestNode
 {
     Endpoint callers;
     Endpoint ready;
@@ -46,10 +46,10 @@
 
     FakeUpstream &addUpstream(const std::string &id);
     /// Starts a node beside @p upstream and adds the upstream to the list under @p service.
-    FakeNode &addNode(const FakeUpstream &upstream, const std::string &service,
+    TestNode &addNode(const FakeUpstream &upstream, const std::string &service,
                       const std::vector<Endpoint> &seeds = {});
     /// Makes other nodes reach @p node, which is beside @p upstream, over a link of this bandwidth.
-    void putBehindLink(const FakeNode &node, const FakeUpstream &upstream, const std::string &service,
+    void putBehindLink(const TestNode &node, const FakeUpstream &upstream, const std::string &service,
                        std::uint64_t bytesPerSecond);
     void run(const std::function<boost::asio::awaitable<void>()> &scenario);
     [[nodiscard]] boost::asio::awaitable<void> sleep(Milliseconds duration);
@@ -65,7 +65,7 @@
     AsioEventPort eventLoop_;
     HttpConnectionPool pool_;
     std::vector<std::unique_ptr<FakeUpstream>> upstreams_;
-    std::vector<std::unique_ptr<FakeNode>> nodes_;
+    std::vector<std::unique_ptr<TestNode>> nodes_;
     std::vector<std::unique_ptr<StandinRelay>> links_;
 };
 
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -71,7 +71,7 @@
 {
     SidecarFixture fixture;
     FakeUpstream &upstream = fixture.addUpstream("i-1");
-    FakeNode &node = fixture.addNode(upstream, "statements");
+    TestNode &node = fixture.addNode(upstream, "statements");
     fixture.run([&]() -> asio::awaitable<void> {
         checkReadiness(co_await fixture.readiness(node.ready), 503);
         const Reply reply = co_await fixture.send(node.callers, "GET", "/read/1", "a");
@@ -90,7 +90,7 @@
 {
     constexpr int Callers = 8;
     SidecarFixture fixture;
-    FakeNode &node = fixture.addNode(fixture.addUpstream("i-1"), "statements");
+    TestNode &node = fixture.addNode(fixture.addUpstream("i-1"), "statements");
     fixture.run([&]() -> asio::awaitable<void> {
         std::set<std::string> times;
         for (int number = 0; number < Callers; ++number) {
@@ -326,7 +326,7 @@
     deployment.run([&]() -> asio::awaitable<void> {
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 1; }));
         const bool firstReads = deployment.catalog.isReading(0);
-        const FakeNode &reader = firstReads ? deployment.first : deployment.second;
+        const TestNode &reader = firstReads ? deployment.first : deployment.second;
         FakeUpstream &draining = firstReads ? deployment.two : deployment.one;
         // The upstream beside the reader refuses everything, so that requests go to the draining one if they may.
         (firstReads ? deployment.one : deployment.two).status = 503;
