--- a/tests/adapter/platformdialecttest.cpp
+++ b/tests/adapter/platformdialecttest.cpp
@@ -19,7 +19,7 @@
 
 }
 
-TEST_CASE("a caller's id and timeout are read, and a timeout that is not a number is ignored")
+TEST_CASE("a caller's id and timeout are read, and an invalid timeout is ignored")
 {
     const PlatformCallerDialect dialect;
     const auto metadata = dialect.read({{"X-Egretpath-Attempt-Id", "9c41"}, {"X-Egretpath-Deadline-Ms", "2500"}});
@@ -97,7 +97,7 @@
 // Guards against a success that the upstream did not send in this form: a proxy on the way compressed the answer, or
 // another program listens at the address. Such an answer lacks the upstream's digest and must not reach a caller as a
 // success.
-TEST_CASE("a success without the upstream's digest is not complete")
+TEST_CASE("a success without the upstream's digest, or with a content encoding, is not authentic")
 {
     const PlatformUpstreamDialect dialect;
     CHECK_FALSE(dialect.read(answerWith(200, {})).isAuthentic);
