--- a/src/http/httpconnectionpool.h
+++ b/src/http/httpconnectionpool.h
@@ -40,7 +40,8 @@
 {
     std::uint64_t opened = 0;
     std::uint64_t reused = 0;
-    /// Idle connections that the server had closed; this was detected before a byte was sent on them.
+    /// Idle connections that the server had closed or had sent unexpected bytes on. This was detected before a byte was
+    /// sent on them.
     std::uint64_t closedByServer = 0;
     /// Calls refused because of the connection limits.
     std::uint64_t refused = 0;
--- a/src/http/httpexchange.h
+++ b/src/http/httpexchange.h
@@ -71,12 +71,13 @@
 
     /// Whether bytes of the response may have been sent. The response can then only be withdrawn with abort().
     [[nodiscard]] bool hasResponseStarted() const;
-    /// Whether the caller closed its side or the connection failed. A caller that closes only its sending side counts
-    /// as disconnected. A disconnect is not detected while the socket holds unread body bytes.
+    /// Whether the caller closed its side, the connection failed, or an earlier response closed the connection. A
+    /// caller that closes only its sending side counts as disconnected. A disconnect is not detected while the socket
+    /// holds unread body bytes.
     [[nodiscard]] bool callerDisconnected() const;
-    /// Calls @p callback once if the caller disconnects before the response is complete. If the caller has already
-    /// disconnected, the call is posted at once. Replaces an earlier callback. The callback is removed when the handler
-    /// returns.
+    /// Calls @p callback once if callerDisconnected() becomes true before the handler returns. If the caller has
+    /// already disconnected, the call is posted at once. Replaces an earlier callback. The callback is removed when the
+    /// handler returns.
     void onCallerDisconnected(std::function<void()> callback);
 
 private:
--- a/src/http/messagewriter.h
+++ b/src/http/messagewriter.h
@@ -21,9 +21,9 @@
 };
 
 /// Returns the wire form of a head, with the framing fields from @p framing and all other fields from @p head.
-/// writeRequestHead() sets Host to @p host if the head has none. Returns std::nullopt if a method, target, field name
-/// or value is not valid HTTP, so that untrusted text can't add header fields or requests, and if the status of a
-/// response is not final. Thread safety: safe.
+/// writeRequestHead() sets Host to @p host if the head has none. Returns std::nullopt if a method, target, reason
+/// phrase, field name or value is not valid HTTP, so that untrusted text can't add header fields or requests, and if
+/// the status of a response is not final. Thread safety: safe.
 [[nodiscard]] std::optional<std::string> writeRequestHead(const HttpRequestHead &head, const MessageFraming &framing,
                                                           std::string_view host);
 [[nodiscard]] std::optional<std::string> writeResponseHead(const HttpResponseHead &head, const MessageFraming &framing);
