--- a/tests/soak/faulthistorytest.cpp
+++ b/tests/soak/faulthistorytest.cpp
@@ -16,7 +16,7 @@
 
 }
 
-TEST_CASE("a node is fault-free if no fault hit it since the settle time before the interval")
+TEST_CASE("a node is fault-free if no fault hit it in the interval or in the settle time before")
 {
     FaultHistory faultHistory(SettleTime);
     faultHistory.begin(1, FaultCategory::Unplanned, at(0));
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -26,8 +26,10 @@
 constexpr Milliseconds DrainTime{2500};
 /// The entry of a crashed upstream expires after three missed heartbeats.
 constexpr Milliseconds EntryExpiryTime{1500};
-/// Time between the exit of an upstream and the start of the next one at the same address.
+/// Time between the removal of an upstream's entry from the store and the start of the next upstream at the same
+/// address.
 constexpr Milliseconds AddressReuseDelay{2000};
+/// Time between the crash of an upstream by a request and the start of the next one.
 constexpr Milliseconds CrashRestartDelay{700};
 constexpr Milliseconds StormInterval{300};
 constexpr unsigned ManyIdleRoutes = 300;
--- a/tests/soak/faultplan.h
+++ b/tests/soak/faultplan.h
@@ -71,15 +71,15 @@
 struct FaultPlanOptions
 {
     Milliseconds length{20'000};
-    /// Time at the end of the run without faults, in which the deployment must recover.
+    /// Time at the end of the run in which no fault starts, so that the deployment can recover.
     Milliseconds faultFreeEnd{6000};
     std::size_t nodes = 9;
-    /// Sets the time from one fault to the next, which is drawn between half of it and twice it. Most faults last
+    /// The time from one fault to the next is drawn between half of this gap and twice this gap. Most faults last
     /// longer, so that they overlap.
     Milliseconds gap{700};
     /// Kinds to draw from. If empty, the first `knownKinds` kinds are drawn from.
     std::vector<FaultKind> kinds;
-    /// Number of kinds to draw from. A seed draws the same plan only while this number is the same.
+    /// Number of kinds to draw from if `kinds` is empty. A seed draws the same plan only while this number is the same.
     std::size_t knownKinds = FaultKindCount;
 };
 
--- a/tests/soak/promisechecker.cpp
+++ b/tests/soak/promisechecker.cpp
@@ -15,20 +15,22 @@
 constexpr std::uint16_t NotFoundStatus = 404;
 /// With these statuses a node or upstream states that the request has not run and never will.
 constexpr std::uint16_t RefusalStatuses[] = {408, 421, 429, 503};
-/// An upstream must stop its work within this time after its caller has disconnected.
+/// An upstream must stop its work within this time after its caller has disconnected. An answer may also come this
+/// much later than its timeout.
 constexpr Milliseconds DisconnectBound{500};
 /// A deadline that an upstream gets may exceed the time that the caller has left by this much.
 constexpr Milliseconds MaxDeadlineExcess{500};
 /// Findings of one kind that are tolerated, where a promise allows a few exceptions.
 constexpr std::size_t MaxToleratedFindings = 3;
-/// A node must not use an older version of the routes later than this after it used a newer one.
+/// When this time has passed since a node used a version of the routes, the node must not use an older version any
+/// more.
 constexpr Milliseconds RollbackSlack{250};
 constexpr std::size_t MaxShownViolations = 40;
 /// After CrashesBeforeQuarantine crashes by one request, and after the time PromiseBounds::quarantineGossip, the
 /// request may run at most MaxLateRuns more times.
 constexpr std::size_t CrashesBeforeQuarantine = 3;
 constexpr std::size_t MaxLateRuns = 3;
-/// A refusal with at least this Retry-After means that the node treats the request as one that crashes upstreams.
+/// A refusal with a longer Retry-After than this means that the node treats the request as one that crashes upstreams.
 constexpr std::chrono::minutes MinQuarantineRetryAfter{30};
 
 bool isSuccess(std::uint16_t status)
@@ -228,9 +230,9 @@
         recordAttemptViolation("the right service", attempt, "run by " + service.value());
         return;
     }
-    const bool isUndisturbed = isNodeFaultFree(attempt, currentTime())
+    const bool hasNoFault = isNodeFaultFree(attempt, currentTime())
         && faultHistory_.isFaultFree(sent.node, FaultCategory::Store, sent.at - bounds_.routeChange, sent.at);
-    if (isUndisturbed && newestMatching < versions_.oldestActive(sent.at, bounds_.routeChange + bounds_.slack)) {
+    if (hasNoFault && newestMatching < versions_.oldestActive(sent.at, bounds_.routeChange + bounds_.slack)) {
         recordAttemptViolation("routes in force in time", attempt,
                                "run by " + service.value() + " as version " + std::to_string(newestMatching) + " says");
     }
@@ -314,10 +316,10 @@
         inAll = inAll && (!mayBeActive || has);
         inAny = inAny || (mayBeActive && has);
     }
-    const bool isUndisturbed = isNodeFaultFree(attempt, attempt.result->at)
+    const bool hasNoFault = isNodeFaultFree(attempt, attempt.result->at)
         && faultHistory_.isFaultFree(sent.node, FaultCategory::Store, sent.at - bounds_.routeChange,
                                      attempt.result->at);
-    if (inAll && inAny && isUndisturbed) {
+    if (inAll && inAny && hasNoFault) {
         recordAttemptViolation("routes in force in time", attempt, "404 for a route that is published");
     }
 }
@@ -364,8 +366,8 @@
     checkDisconnected(attempt);
 }
 
-/// A request that ran at an upstream gets an answer from a node that no unplanned fault hit, even during a planned
-/// stop.
+/// A node must answer each request that ran at an upstream, even during a planned stop, unless an unplanned fault of
+/// the node or a fault of category Upstream hit the node meanwhile.
 void PromiseChecker::checkCutOff(const Attempt &attempt)
 {
     const AttemptResult &result = *attempt.result;
@@ -398,7 +400,7 @@
     }
 }
 
-/// Compares the repeats in each window with the larger count of requests, that of this window or of the one before.
+/// Compares the repeats in each window with the requests of this window or of the window before, whichever are more.
 void PromiseChecker::checkRepeats()
 {
     for (const auto &[service, arrivals] : arrivals_) {
@@ -408,10 +410,10 @@
         };
         for (const TimePoint begin : arrivals.repeats) {
             const auto repeats = static_cast<double>(countIn(arrivals.repeats, begin, begin + bounds_.repeatWindow));
-            const auto now = countIn(arrivals.requests, begin, begin + bounds_.repeatWindow);
-            const auto before = countIn(arrivals.requests, begin - bounds_.repeatWindow, begin);
+            const auto requests = countIn(arrivals.requests, begin, begin + bounds_.repeatWindow);
+            const auto previousRequests = countIn(arrivals.requests, begin - bounds_.repeatWindow, begin);
             const double allowed =
-                bounds_.repeatRatio * static_cast<double>(std::max(now, before)) + bounds_.repeatSlack;
+                bounds_.repeatRatio * static_cast<double>(std::max(requests, previousRequests)) + bounds_.repeatSlack;
             if (repeats > allowed) {
                 recordViolation("repeats within their budget",
                                 service.value() + ": " + std::to_string(repeats) + " against "
--- a/tests/soak/promisechecker.h
+++ b/tests/soak/promisechecker.h
@@ -92,7 +92,8 @@
     void recordPlacement(const UpstreamName &upstream, NodeNumber node);
     /// Records that @p upstream announced, itself or through its store entry, that it is draining.
     void recordDraining(const UpstreamName &upstream, TimePoint at);
-    /// Records a violation: the process of @p node exited although the soak did not ask for it.
+    /// Records a violation: the process of @p node exited although the soak did not ask for it, or in another way than
+    /// the soak asked for.
     void recordUnexpectedExit(NodeNumber node, const std::string &reason);
     /// Records a violation that was found outside this class.
     void recordViolation(const std::string &promise, const std::string &detail);
@@ -160,7 +161,7 @@
     struct NodeRun
     {
         NodeNumber node = 0;
-        unsigned number = 0;
+        unsigned startCount = 0;
 
         friend auto operator<=>(const NodeRun &, const NodeRun &) = default;
     };
--- a/tests/soak/routepublisher.cpp
+++ b/tests/soak/routepublisher.cpp
@@ -57,7 +57,7 @@
     return route;
 }
 
-CallerRoute makeCheckRoute(const char *key, const char *service)
+CallerRoute makeShortTimeoutRoute(const char *key, const char *service)
 {
     CallerRoute route = makeRoute(key, RequestKind::Safe, service, 0.0);
     route.target = Milliseconds(100);
@@ -88,8 +88,8 @@
               makeRoute("pay", RequestKind::Unsafe, "arrangements", 0.25),
               makeRoute("upload", RequestKind::Upload, "intake", 0.08),
               makeRoute("file", RequestKind::Unsafe, "intake", 0.12),
-              makeCheckRoute("rate", "arrangements"),
-              makeCheckRoute("eligible", "intake")}
+              makeShortTimeoutRoute("rate", "arrangements"),
+              makeShortTimeoutRoute("eligible", "intake")}
 {
 }
 
@@ -127,7 +127,7 @@
         rules.push_back(makeRule(route));
     }
     for (unsigned number = 0; number < idleRoutes_; ++number) {
-        rules.push_back(makeRule(makeCheckRoute(("idle-" + std::to_string(number)).c_str(), "intake")));
+        rules.push_back(makeRule(makeShortTimeoutRoute(("idle-" + std::to_string(number)).c_str(), "intake")));
     }
     json::array clusters;
     for (const char *service : {"statements", "arrangements", "intake"}) {
--- a/tests/soak/soakcallers.cpp
+++ b/tests/soak/soakcallers.cpp
@@ -30,7 +30,7 @@
 constexpr double NewConnectionShare = 0.15;
 constexpr std::size_t UploadBytes = std::size_t{60} * 1024;
 constexpr std::size_t BodyBytes = 400;
-/// Share of the requests to a route whose upstream makes a call of its own.
+/// Share of the read and payment requests for which the upstream makes a call of its own.
 constexpr double InnerCallShare = 0.4;
 constexpr Milliseconds MinDisconnectDelay{20};
 constexpr Milliseconds DisconnectDelaySpread{300};
--- a/tests/soak/soakdeployment.cpp
+++ b/tests/soak/soakdeployment.cpp
@@ -114,7 +114,8 @@
     linkStore(member);
 }
 
-/// Puts a relay in front of every other member, so that both direct connections and connections over a link are tested.
+/// Puts a relay in front of every second member, so that both direct connections and connections over a link are
+/// tested.
 void SoakDeployment::linkPeers(Member &member)
 {
     const bool hasPeerLink = member.number % 2 == 1;
@@ -215,7 +216,7 @@
     store_.remove("servers/" + upstream.value());
 }
 
-/// The system may merge the signals of several exited children, so each signal collects all of them.
+/// The operating system may merge the signals of several exited children, so each signal collects all of them.
 void SoakDeployment::reapChildren()
 {
     childExits_.async_wait([this](const boost::system::error_code &error, int) {
--- a/tests/soak/soakdeployment.h
+++ b/tests/soak/soakdeployment.h
@@ -46,8 +46,8 @@
     unsigned upstreamStarts = 0;
     Endpoint callers;
     Endpoint ready;
-    /// The address under which other nodes find this one and its upstream is registered. For every other member it is
-    /// the address of a relay.
+    /// The address at which other nodes connect to this node, and at which its upstream listens and is registered. For
+    /// every second member, other nodes connect to a relay at this address.
     std::string listedIp;
     std::string nodeIp;
     std::unique_ptr<StandinRelay> peerLink;
@@ -74,7 +74,7 @@
     /// Starts the nodes, their upstreams and the store. Calls @p onUpstreamCrashed with each member whose upstream a
     /// request has crashed.
     void start(const InnerCallFactory &makeInnerCall, const std::function<void(Member &)> &onUpstreamCrashed);
-    /// Kills all processes and ends all upstreams.
+    /// Kills all processes and stops all upstreams.
     void stop();
 
     [[nodiscard]] std::vector<std::unique_ptr<Member>> &members() { return members_; }
--- a/tests/soak/soakmain.cpp
+++ b/tests/soak/soakmain.cpp
@@ -41,7 +41,7 @@
     std::vector<std::string> kinds;
     CLI::App app("Runs nodes as processes under load and seeded faults, and checks the promises of the system.");
     app.add_option("--seed", options.deployment.seed, "the same seed plans the same faults");
-    app.add_option("--seconds", seconds, "duration of the load in seconds; the last 6 s are without faults");
+    app.add_option("--seconds", seconds, "duration of the load in seconds; no fault starts in the last 6 s");
     app.add_option("--nodes", options.deployment.nodes, "number of nodes; each runs as its own process")
         ->check(CLI::Range(3, 200));
     app.add_option("--rate", options.rate, "requests a second at each node");
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -21,7 +21,7 @@
     PromiseBounds bounds;
     /// Requests a second at each node.
     double rate = 15;
-    /// Runs the load without faults.
+    /// Whether the load runs without faults.
     bool withoutFaults = false;
     /// Minimum share of the attempts after all faults that has to succeed.
     double recoveredShare = 0.9;
