--- a/tests/standins/relaydirection.cpp
+++ b/tests/standins/relaydirection.cpp
@@ -21,7 +21,8 @@
 {
 
 constexpr std::size_t ReadBytes = 16384;
-/// Maximum number of bytes that one direction holds back. Beyond it the sender is not read from.
+/// Maximum number of bytes that one direction holds back. Beyond it, nothing more is read, so that the sender slows
+/// down.
 constexpr std::size_t MaxBufferedBytes = std::size_t{16} * 1024 * 1024;
 
 }
--- a/tests/standins/relaydirection.h
+++ b/tests/standins/relaydirection.h
@@ -38,7 +38,7 @@
 
     RelayDirection(Socket from, Socket to, std::shared_ptr<const RelayConditions> conditions, bool towardsServer);
 
-    /// Starts to forward. The object lives until both sides are done.
+    /// Starts to forward. The object lives until this direction has ended.
     void start();
     /// Must be called when the conditions have changed or the connection was reset.
     void wake();
--- a/tests/standins/standinrelay.h
+++ b/tests/standins/standinrelay.h
@@ -25,7 +25,7 @@
     /// Listens at @p endpoint and returns the bound address. Throws boost::system::system_error on failure.
     [[nodiscard]] Endpoint listen(const boost::asio::ip::tcp::endpoint &endpoint);
 
-    /// Sets the conditions for all connections from now on.
+    /// Sets the conditions from now on for all connections except those that silenceOpenConnections() has silenced.
     void setConditions(const RelayConditions &conditions);
     /// Resets all connections. If @p refusing is true, also resets each new connection until the next call.
     void reset(bool refusing);
--- a/tests/standins/standinstore.cpp
+++ b/tests/standins/standinstore.cpp
@@ -29,6 +29,7 @@
 constexpr std::uint16_t UnavailableStatus = 503;
 /// Small, so that a dozen upstreams already need several pages.
 constexpr std::size_t PageItems = 5;
+/// Longest wait of a watch, in milliseconds.
 constexpr std::uint64_t MaxWait = 30'000;
 constexpr std::size_t MaxHistory = 2000;
 
--- a/tests/standins/standinupstream.cpp
+++ b/tests/standins/standinupstream.cpp
@@ -39,7 +39,7 @@
 constexpr double Percent = 100.0;
 constexpr std::size_t MinAnswerBytes = 300;
 constexpr std::size_t AnswerBytesSpread = 6000;
-/// Idle connections are closed after this time, as by upstreams on the platform.
+/// Idle connections are closed after this time, as upstreams on the platform do.
 constexpr Milliseconds IdleTime{10'000};
 
 std::string headerValue(const HttpExchange &exchange, std::string_view name)
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Waits until the caller closes the connection. The request counts neither as running nor as waiting.
+    /// Waits until the caller closes the connection or the upstream exits. The request counts neither as running nor as
+    /// waiting.
     asio::awaitable<void> hang(HttpExchange &exchange)
     {
         bool callerDisconnected = false;
--- a/tests/standins/standinupstream.h
+++ b/tests/standins/standinupstream.h
@@ -88,7 +88,7 @@
     std::uint64_t seed = 1;
     /// A request crashes the upstream if the last segment of its path starts with this text.
     std::string crashPrefix = "crash-";
-    /// Called after such a crash.
+    /// Called after a request has crashed the upstream.
     std::function<void()> onCrashed;
 };
 
