--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -37,7 +37,7 @@
                   decisions.ingress.view.failureShareFactor = 0.0;
                   decisions.queue.failureFactor = 0.0;
               }},
-    Mechanism{"dependents", "callers with little patience go first, since a late answer is useless to them",
+    Mechanism{"dependents", "callers with short timeouts go first, since a late answer is useless to them",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.dependentTimeoutFactor = 0; }},
     Mechanism{"delay", "the network delay to a node counts",
               [](DecisionSettings &decisions) { decisions.ingress.view.countsDelay = false; }},
--- a/bench/node/catalogbench.cpp
+++ b/bench/node/catalogbench.cpp
@@ -60,7 +60,8 @@
     }
 }
 
-/// A reader builds the answer for a follower that lacks one change.
+/// A reader searches the list for the changes that a follower lacks. The follower has the same revision, so the answer
+/// is empty.
 void oneAnswer(benchmark::State &state)
 {
     const InstanceDirectory directory = fleetOf(static_cast<int>(state.range(0)));
--- a/bench/replay/main.cpp
+++ b/bench/replay/main.cpp
@@ -23,8 +23,8 @@
     double burst;
 };
 
-/// Shares of the capacity that the six upstreams have with VMs that are sometimes slow: about .5, then .5 with 5 s of
-/// twice that, and 1.1.
+/// The rates are about .5, .5 with 5 s of twice that, and 1.1 of the capacity of the six upstreams, whose VMs are slow
+/// at times.
 constexpr NamedLoad Loads[] = {{"calm", 110, 1.0}, {"burst", 110, 2.0}, {"overload", 240, 1.0}};
 
 /// Returns minimum, median and maximum over the seeds.
@@ -68,7 +68,7 @@
     double rateFactor = 1.0;
     CLI::App app(
         "Replays loads against the node's decisions and plain rules; prints minimum/median/maximum over the seeds.");
-    app.add_option("--seeds", seeds, "the last seed; the first one is 1");
+    app.add_option("--seeds", seeds, "run with the seeds from 1 to this number");
     app.add_option("--rate-factor", rateFactor, "factor for the rate of requests");
     app.add_option("--slow-share", load.slowShare, "share of the time in which a VM is slow");
     app.add_option("--slow-factor", load.slowFactor, "factor by which work takes longer on a slow VM");
--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -33,7 +33,7 @@
 constexpr unsigned MaxRetries = 2;
 constexpr Milliseconds SlowdownWatchInterval{20};
 constexpr double LateWorth = 0.1;
-/// Under the plain rules, the length of an upstream's own queue for each of its slots.
+/// Under the plain rules, the maximum length of an upstream's own queue for each of its slots.
 constexpr std::uint32_t QueuedPerSlot = 2;
 constexpr Milliseconds PlainRetryAfter{200};
 /// Callers retry within a third of the time that they have left.
@@ -166,12 +166,12 @@
         });
     }
 
-    /// Draws whether a VM is slow, and for how long. It draws again at the end of that period.
+    /// Draws whether a VM is slow, and for how long. Draws again at the end of this period.
     void changeSlowdown(std::size_t upstream, TimePoint time)
     {
         upstreams_[upstream]->slowdown =
             std::bernoulli_distribution(load_.slowShare)(slowPeriodRandom_) ? load_.slowFactor : 1.0;
-        // The node requests the slowdown while a request waits for it.
+        // While a request waits for the end of a slow period, the node asks for the slowdown of the VM.
         scheduleAt(time + SlowdownWatchInterval, [this, upstream] {
             if (upstreams_[upstream]->queue.needsSlowdownUpdates(now())) {
                 reportSlowdown(upstream);
--- a/bench/replay/replay.h
+++ b/bench/replay/replay.h
@@ -56,7 +56,7 @@
 struct ReplaySettings
 {
     ReplayRule rule = ReplayRule::Egretpath;
-    /// Only the settings of placement, view, queue and queries have an effect.
+    /// Only the settings of placement, view, queue, queries and the spread of retries have an effect.
     DecisionSettings decisions;
     std::uint64_t seed = 1;
 };
@@ -71,7 +71,7 @@
     double failed = 0.0;
     /// Queries and sendings per request.
     double sendings = 0.0;
-    /// The share of answers in time, to which each late answer adds a tenth.
+    /// The share of answers in target time plus a tenth of the share of late answers.
     [[nodiscard]] double worth() const;
 };
 
--- a/tests/replay/replaytest.cpp
+++ b/tests/replay/replaytest.cpp
@@ -100,7 +100,7 @@
 
 // A request is sent to an upstream that was fast a moment ago, and waits there for a slot while another upstream is
 // idle. The node beside the upstream knows the current state and may decline the request.
-TEST_CASE("nodes that may decline answer more requests in time")
+TEST_CASE("more requests are answered in time if nodes may decline them")
 {
     ReplaySettings without;
     without.decisions.ingress.ingress.maxQueries = 0;
