--- a/bench/node/rpcbench.cpp
+++ b/bench/node/rpcbench.cpp
@@ -111,7 +111,7 @@
 }
 
 /// A follower's query while there is no update. The counter `bytes` is the size of one query with its answer.
-void queryWithoutUpdate(benchmark::State &state)
+void quietQuestion(benchmark::State &state)
 {
     const std::uint64_t bytes = runBetweenNodes([&](PeerClient &client) { return repeatQueries(client, state); });
     state.counters["bytes"] = static_cast<double>(bytes) / static_cast<double>(state.iterations());
@@ -136,7 +136,7 @@
 }
 
 BENCHMARK(callBetweenNodes)->Arg(200)->Arg(16'000)->Unit(benchmark::kMicrosecond);
-BENCHMARK(queryWithoutUpdate)->Unit(benchmark::kMicrosecond);
+BENCHMARK(quietQuestion)->Unit(benchmark::kMicrosecond);
 // The limit of zero shows the cost of a dropped line.
 BENCHMARK(decisionLine)->Arg(NoLimit)->Arg(0)->Unit(benchmark::kNanosecond);
 
