--- a/src/ingress/ingresscontext.cpp
+++ b/src/ingress/ingresscontext.cpp
@@ -12,8 +12,8 @@
 
 /// Weight of the newest report in the smoothed baseline time of a route. The times in reports are means already.
 constexpr double BaselineTimeGain = 0.1;
-/// How long no request is sent to an upstream that drains or was replaced. By then the platform's instance list shows
-/// the change.
+/// How long no request is sent to an upstream that is draining, whose node is stopping, or that was replaced. By then
+/// the platform's instance list shows the change.
 constexpr Milliseconds DrainingHold{1000};
 /// The baseline time of a route without reports, as a share of its target latency.
 constexpr double DefaultBaselineShare = 0.3;
--- a/src/ingress/ingresscontext.h
+++ b/src/ingress/ingresscontext.h
@@ -45,7 +45,7 @@
     const Quarantine &quarantine;
 };
 
-/// The constants of the ingress role's decisions.
+/// The constants of the ingress role's own decisions and of the choice of an upstream.
 struct IngressDecisionSettings
 {
     IngressSettings ingress;
@@ -64,7 +64,8 @@
 
     /// Returns the time that a request of @p route takes without queueing or slowdown.
     [[nodiscard]] Duration baselineTime(const Route &route) const;
-    /// Records what @p outcome, the end of a try at @p upstream sent to the node at @p node, shows about both.
+    /// Records what the @p outcome of a try shows about @p upstream and about the node beside it. @p node: the address
+    /// of that node.
     void recordOutcome(const RouteName &route, const UpstreamName &upstream, const Endpoint &node,
                        const Result<CallOutcome> &outcome);
 
--- a/src/ingress/ingressrole.h
+++ b/src/ingress/ingressrole.h
@@ -49,7 +49,7 @@
     {
         context_->outcomeListener = std::move(listener);
     }
-    /// Calls @p listener when a request is refused because no routes are in force.
+    /// Calls @p listener when a request is refused because no routes are active yet.
     void onNoRoutes(std::function<void()> listener) { context_->noRoutesListener = std::move(listener); }
     /// Announces that the process ends at @p end at the latest. From now on, requests that may take longer are refused.
     void beginStop(TimePoint end) { context_->stop.begin(end); }
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -146,7 +146,7 @@
 
 void ProxiedRequest::recordCallerDisconnected()
 {
-    // This ends the call, so that no later answer is written to the exchange, which no longer exists.
+    // This ends the call. A later answer must not be written to the exchange, which no longer exists then.
     [[maybe_unused]] const auto ignored = tries_->state().giveUp(Reason::Cancelled);
     logEnd(0, mayHaveRun(Reason::Cancelled, "the caller went away"));
 }
--- a/src/ingress/proxiedrequest.h
+++ b/src/ingress/proxiedrequest.h
@@ -47,14 +47,15 @@
     boost::asio::awaitable<void> giveUp(Failure failure);
     boost::asio::awaitable<void> respond(Failure failure);
 
-    /// @p result: a failure, or a description of the answer whose detail names the upstream.
+    /// @p result: the failure, or a Failure that describes an answer. The detail of the latter names the upstream or
+    /// says that the answer was sent in pieces.
     void logEnd(std::uint16_t status, const Failure &result);
 
     std::shared_ptr<IngressContext> context_;
     HttpExchange &exchange_;
     RequestParameters parameters_;
     ServiceName service_;
-    /// Null until the request was read.
+    /// Null until the request has been read.
     std::shared_ptr<RequestTries> tries_;
     /// Wakes the loop at the deadline, or earlier when the timer is cancelled.
     boost::asio::steady_timer wakeUp_;
--- a/src/ingress/requestlog.h
+++ b/src/ingress/requestlog.h
@@ -39,13 +39,14 @@
     /// Null if no route matched the request.
     const Route *route = nullptr;
     ServiceName service;
-    /// Zero if no answer was given.
+    /// Zero if no answer was given, or if the answer was sent to the caller in pieces.
     std::uint16_t status = 0;
     Verdict verdict = Verdict::Answered;
     Reason reason = Reason::None;
     std::string detail;
-    /// The number of tries, including declined ones, and of upstreams that may have got the request.
+    /// The number of tries, including declined ones; see RequestTries::tryCount().
     std::uint32_t tryCount = 0;
+    /// The number of upstreams that may have got the request.
     std::size_t reachedCount = 0;
     Duration duration{0};
     RouteVersion routesVersion;
--- a/src/ingress/requestparameters.cpp
+++ b/src/ingress/requestparameters.cpp
@@ -14,11 +14,11 @@
 
 /// The retry delay if no better value is known.
 constexpr Milliseconds DefaultRetryDelay{150};
-/// A process that ended is started again within about a second.
+/// A process that has exited is started again within about a second.
 constexpr Milliseconds RestartTime{1000};
 /// Callers honour a retry delay of up to a third of the time that they have left.
 constexpr int MaxRetryDelayDivisor = 3;
-/// The timeout assumed for a caller that gives none, if no route is known whose timeout applies.
+/// The timeout assumed for a caller that gives none if no route was found for its request.
 constexpr Milliseconds DefaultTimeout{1000};
 
 TimePoint findTargetTime(IngressContext &context, const RequestParameters &parameters)
--- a/src/ingress/requestparameters.h
+++ b/src/ingress/requestparameters.h
@@ -10,11 +10,11 @@
 namespace Egretpath
 {
 
-/// The route and the time limits of a request, from its head and from the routes in force.
+/// The route and the time limits of a request, from its head and from the active routes.
 struct RequestParameters
 {
     CallerMetadata caller;
-    /// The routes in force when the request arrived; null if there were none.
+    /// The routes that were active when the request arrived; null if there were none.
     RouteTablePointer routes;
     /// The route that matches the request; null if none does.
     const Route *route = nullptr;
@@ -23,7 +23,7 @@
     /// An answer after this time is worth little to the caller.
     TimePoint targetTime;
 
-    /// Whether the caller fails with a late answer just as without an answer.
+    /// Whether a late answer is worth no more to the caller than no answer.
     [[nodiscard]] bool isUrgent() const { return targetTime == deadline; }
 };
 
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -210,7 +210,7 @@
         return false;
     }
     setTimes(head);
-    requestTry.sent = true;
+    requestTry.wasSent = true;
     return true;
 }
 
@@ -264,7 +264,7 @@
 bool RequestTries::reachedUpstream(const RequestTry &requestTry, const Failure &failure) const
 {
     const bool refusedByUpstream = failure.reason == Reason::Shed || failure.reason == Reason::WrongIncarnation;
-    return refusedByUpstream || (failure.verdict != Verdict::NotRun && requestTry.sent);
+    return refusedByUpstream || (failure.verdict != Verdict::NotRun && requestTry.wasSent);
 }
 
 NextStep RequestTries::recordFailure(const RequestTry &requestTry, const Failure &failure)
@@ -284,7 +284,7 @@
     }
     if (!reachedUpstream(requestTry, failure)) {
         // After maxQueries tries the request is sent to the best of all upstreams, which may not decline it. If that
-        // one can't take the request in time, the others can't either.
+        // upstream can't take the request in time, the others can't either.
         return !(failure.reason == Reason::Overloaded && tryCount_ > context_->settings.maxQueries);
     }
     return reachedUpstreams_.size() < parameters_.route->maxAttempts && context_->budget.spend(content_.service);
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -30,7 +30,7 @@
     /// The node may decline the request if it expects the answer to take longer than this. Zero: it may not decline.
     Duration declineThreshold{0};
     std::shared_ptr<Cancellation> cancellation;
-    bool sent = false;
+    bool wasSent = false;
 };
 using RequestTryPointer = std::shared_ptr<RequestTry>;
 
@@ -55,12 +55,12 @@
 /// The tries of one request. This class chooses an upstream for each try, sends the request, and decides whether
 /// another try may follow a failed one.
 ///
-/// Each try runs as a coroutine of its own, which keeps this object alive and reports its end. CallState guarantees
-/// that nothing is sent after the caller was answered. Thread safety: none.
+/// Each try runs as a coroutine of its own. The coroutine keeps this object alive and reports the end of the try.
+/// CallState guarantees that nothing is sent after the caller was answered. Thread safety: none.
 class RequestTries : public std::enable_shared_from_this<RequestTries>
 {
 public:
-    /// @p endedListener is called after each end of a try.
+    /// @p endedListener is called whenever a try has ended.
     RequestTries(std::shared_ptr<IngressContext> context, RequestParameters parameters, TryContent content,
                  CallState state, std::function<void()> endedListener);
 
@@ -74,15 +74,17 @@
 
     /// Whether a try at another upstream may still bring a better answer than @p answer.
     [[nodiscard]] bool mayRetryAfterAnswer(const CallOutcome &answer) const;
-    /// Records that the try brought no answer for the caller. @p failure: the failure of the try, or the failure for
+    /// Records that the try brought no answer for the caller. @p failure: the failure of the try, or the failure as
     /// which its answer counts.
     [[nodiscard]] NextStep recordFailure(const RequestTry &requestTry, const Failure &failure);
     /// Whether another try may follow a failed one. If so, its cost is taken from the retry budget.
     [[nodiscard]] bool mayRetry(const RequestTry &requestTry, const Failure &failure);
 
     [[nodiscard]] CallState &state() { return state_; }
-    /// The number of tries, including declined ones, and of upstreams that may have got the request.
+    /// The number of tries, including declined ones. It may exceed the number of tries that were started; see
+    /// tryCount_.
     [[nodiscard]] std::uint32_t tryCount() const { return tryCount_; }
+    /// The number of upstreams that may have got the request.
     [[nodiscard]] std::size_t reachedCount() const { return reachedUpstreams_.size(); }
 
 private:
--- a/src/ingress/streamedanswerrelay.cpp
+++ b/src/ingress/streamedanswerrelay.cpp
@@ -22,8 +22,8 @@
     request->isStreamed_ = true;
     HttpResponseHead response(head.status);
     response.headers = std::move(head.headers);
-    const Result<void> begun = co_await request->exchange_.startResponse(std::move(response), std::nullopt);
-    co_return begun.has_value();
+    const Result<void> started = co_await request->exchange_.startResponse(std::move(response), std::nullopt);
+    co_return started.has_value();
 }
 
 asio::awaitable<bool> StreamedAnswerRelay::write(std::string chunk)
