--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -23,7 +23,7 @@
 /// Weight of the newest call in the smoothed delay. About the last ten calls count, which is some tenths of a second on
 /// a busy node.
 constexpr double ArrivalDelayGain = 0.1;
-/// Longer delays count as this one: a call that a cut link held up says nothing about the delay of the next call.
+/// Longer delays count as this delay: a call that a cut link held up says nothing about the delay of the next call.
 constexpr Milliseconds MaxArrivalDelay{500};
 
 HttpPoolLimits poolLimits(const EgressSettings &settings)
@@ -79,15 +79,15 @@
     slots_.refuseWaiting([this](const UpstreamName &target) { return presence_.rejection(target); });
 }
 
-void EgressRole::setMaxConnections(std::uint32_t cap)
+void EgressRole::setMaxConnections(std::uint32_t maxConnections)
 {
-    pool_.setMaxConnections(cap);
+    pool_.setMaxConnections(maxConnections);
 }
 
 LoadReport EgressRole::report(const RouteName &route) const
 {
     LoadReport report = slots_.queue().report(route, currentTime());
-    report.draining = draining_;
+    report.draining = isDraining_;
     report.arrivalDelayMicroseconds = static_cast<std::uint32_t>(arrivalDelayMicroseconds_);
     return report;
 }
@@ -244,10 +244,10 @@
 void EgressRole::recordAnswer(bool failed)
 {
     health_.record(failed, currentTime());
-    recordHealth();
+    updateFailureShare();
 }
 
-void EgressRole::recordHealth()
+void EgressRole::updateFailureShare()
 {
     slots_.setFailureShare(health_.failureShare(currentTime()));
 }
--- a/src/egress/egressrole.h
+++ b/src/egress/egressrole.h
@@ -75,9 +75,9 @@
     /// requests for an upstream that leaves are refused.
     void setInstanceRecord(const InstanceRecord *record);
     void setHealthPath(std::string path) { settings_.healthPath = std::move(path); }
-    void setMaxConnections(std::uint32_t cap);
+    void setMaxConnections(std::uint32_t maxConnections);
     /// Starts or stops refusing new requests.
-    void setDraining(bool draining) { draining_ = draining; }
+    void setDraining(bool draining) { isDraining_ = draining; }
     /// Calls @p listener when the upstream has exited while it had requests; see UpstreamExitMonitor::Listener.
     void onUpstreamExit(UpstreamExitMonitor::Listener listener) { upstreamExitListener_ = std::move(listener); }
     /// Ends all waiting and running requests that the quarantine now refuses.
@@ -111,7 +111,7 @@
     void reportUpstreamExit(UpstreamCrashId crash, const std::vector<HeldRequest> &held);
     void recordAnswer(bool failed);
     /// Passes the present share of failures to the queue; the share decays with time.
-    void recordHealth();
+    void updateFailureShare();
 
     std::shared_ptr<const LifetimeToken> lifetimeToken_ = std::make_shared<LifetimeToken>();
     boost::asio::any_io_executor executor_;
@@ -132,7 +132,7 @@
     TimePoint slowdownUpdatedAt_;
     UpstreamPresence presence_;
     double arrivalDelayMicroseconds_ = 0.0;
-    bool draining_ = false;
+    bool isDraining_ = false;
     bool isProbing_ = false;
     bool isProbingForWaiting_ = false;
     bool isProbingForOverdue_ = false;
@@ -143,7 +143,8 @@
     std::unordered_map<CallId, UpstreamRequest *> requestsAtUpstream_;
     /// The number of requests at the upstream that are overdue.
     std::size_t overdueCount_ = 0;
-    /// Never expires. It is cancelled when a probe has ended, which wakes the coroutines that wait for the probe.
+    /// Never expires. It is cancelled when a probe has ended, and when a request has waited for settings_.maxProbeWait.
+    /// Cancelling it wakes all coroutines that wait for a probe.
     boost::asio::steady_timer probeFinished_;
 };
 
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -26,7 +26,8 @@
 constexpr std::uint16_t FirstServerError = 500;
 constexpr std::uint16_t GatewayTimeoutStatus = 504;
 constexpr double BaselineSlowdown = 100.0;
-/// A request is overdue after this many times its baseline time at the VM's slowdown. Hardly any work takes so long.
+/// A request is overdue after this many times the time expected for it: its baseline time multiplied by the VM's
+/// slowdown. Hardly any work takes so long.
 constexpr double OverdueFactor = 2.5;
 constexpr Milliseconds MinOverdueTime{150};
 
@@ -143,7 +144,7 @@
         co_return notRun(Reason::DeadlinePassed, "the request was too long on its way");
     }
     targetTime_ = arrivedAt_ + head_.targetLatencyLeft - delay;
-    if (role_.draining_) {
+    if (role_.isDraining_) {
         co_return notRun(Reason::Draining, "the node beside the upstream stops", DrainingRetryAfter);
     }
     co_await role_.refreshSlowdown();
@@ -153,7 +154,7 @@
     if (auto rejection = quarantineRejection()) {
         co_return rejection;
     }
-    role_.recordHealth();
+    role_.updateFailureShare();
     const WorkOffer offer = makeOffer();
     if (head_.dryRun) {
         co_return role_.slots_.queue()
