--- a/src/core/identity.h
+++ b/src/core/identity.h
@@ -34,9 +34,10 @@
     std::uint32_t inFlight = 0;
     std::uint32_t queued = 0;
     std::uint32_t slots = 0;
-    /// Smoothed time from handing a call to the upstream until its complete answer, in microseconds.
+    /// Smoothed time of a call of the reported route at the VM's baseline speed, from handing the call to the upstream
+    /// until its complete answer, in microseconds; zero if unknown.
     std::uint32_t serviceTimeMicroseconds = 0;
-    /// Whether the upstream is draining and takes no new work.
+    /// Whether the node is stopping and refuses new requests for the upstream.
     bool draining = false;
     /// The time that work takes on the VM now, in percent of the baseline; zero if unknown.
     std::uint16_t slowdownPercent = 0;
--- a/src/core/strongtype.h
+++ b/src/core/strongtype.h
@@ -45,11 +45,11 @@
 using RegionName = Name<struct RegionNameTag>;
 /// An availability zone in a region.
 using ZoneName = Name<struct ZoneNameTag>;
-/// An upstream, which is one place for a back end VM. The name stays the same when the VM restarts or is replaced.
+/// The id under which an upstream, a back end VM, is registered. A replacement at the same address has another id.
 using UpstreamName = Name<struct UpstreamNameTag>;
 /// An IP address and port in the form "127.0.0.1:8080".
 using Endpoint = Name<struct EndpointTag>;
-/// Identifies one call in logs and histories. The ingress assigns it.
+/// Identifies one attempt of a caller in logs and histories. The caller chooses it; empty if the caller gave none.
 using RequestId = Name<struct RequestIdTag>;
 
 /// Identifies one run of a node process. A restarted or replaced node at the same address has another incarnation.
--- a/src/core/verdict.h
+++ b/src/core/verdict.h
@@ -29,7 +29,7 @@
     BadRequest,
     /// All slots and queue places of the upstream are in use.
     Overloaded,
-    /// The node is stopping, or the upstream is draining and takes no new work.
+    /// The node is stopping and takes no new requests.
     Draining,
     /// The deadline passed.
     DeadlinePassed,
@@ -53,9 +53,9 @@
     AnswerNotHeld,
     /// The request reached another incarnation or upstream than it was sent to.
     WrongIncarnation,
-    /// This node has no route table yet, or cannot confirm that its route table is current.
+    /// This node has no route table yet.
     NoTable,
-    /// A budget for retries, bytes or connections is used up.
+    /// The maximum number of tries of a request, or of connections to an upstream, is reached.
     BudgetSpent,
     /// A body or header is larger than allowed.
     TooLarge,
--- a/src/dialect/upstreamdialect.h
+++ b/src/dialect/upstreamdialect.h
@@ -38,8 +38,8 @@
     bool isNotRun = false;
     /// The answer comes from another upstream, which now has the address.
     bool isWrongUpstream = false;
-    /// Whether the answer is proved to come unchanged from the upstream, which marks each answer that it makes itself.
-    /// Always true for failures, which need no proof.
+    /// Whether the answer carries the mark that the upstream adds to each answer that it makes itself, and nothing
+    /// shows that the answer was changed on its way. Always true for failures, which need no mark.
     bool isAuthentic = true;
     /// The id of the answered request; empty if the answer names none.
     RequestId request;
