--- a/src/rpc/asioeventport.h
+++ b/src/rpc/asioeventport.h
@@ -8,8 +8,8 @@
 
 /// An Asio io_context that also runs KJ's event loop, on which Cap'n Proto RPC is built, on the same thread.
 ///
-/// KJ tells the port when its event queue becomes non-empty; the port then posts one run of that queue to Asio. Both
-/// loops so share one thread and one poll and need no locks. KJ's own poll loop would need a second thread.
+/// KJ tells the port when its event queue becomes non-empty; the port then posts one run of that queue to Asio. So both
+/// loops share one thread and one poll and need no locks. KJ's own poll loop would need a second thread.
 ///
 /// Preconditions: at most one instance for each thread; the io_context runs on the thread that created the instance.
 /// Promise::wait() must not be called on this loop. Thread safety: none.
--- a/src/rpc/cancellation.h
+++ b/src/rpc/cancellation.h
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Removes the action. To be called when the work has ended.
+    /// Removes the action. Call this when the work has ended.
     void clearAction() { action_ = nullptr; }
 
     /// Calls the action. Further calls do nothing.
--- a/src/rpc/peerclient.h
+++ b/src/rpc/peerclient.h
@@ -26,7 +26,8 @@
 /// - NotRun/ConnectFailed: there was no connection, so nothing was sent.
 /// - NotRun/Cancelled: the permit was refused, or the call was cancelled before it was sent.
 /// - MayHaveRun/ConnectionLost: the connection broke after the call was queued to it.
-/// - MayHaveRun/DeadlinePassed, MayHaveRun/Cancelled: no answer came before that; the peer is told to cancel the call.
+/// - MayHaveRun/DeadlinePassed, MayHaveRun/Cancelled: no answer came before the deadline or the cancellation; the
+///   peer is told to cancel the call.
 class PeerClient
 {
 public:
@@ -50,7 +51,7 @@
     /// New connections to peers for which @p isPaidLink returns true are compressed, since the link to them is paid for
     /// by volume.
     void setPaidLinks(std::function<bool(const Endpoint &)> isPaidLink);
-    /// Closes connections that no call has used for @p idle, and lost ones.
+    /// Closes connections that no call has used for @p idle, and connections that are lost.
     void closeIdle(TimePoint now, Duration idle);
     [[nodiscard]] std::size_t connectionCount() const;
     /// Bytes read and written on all connections since the start.
