--- a/src/ingress/ingresssettings.h
+++ b/src/ingress/ingresssettings.h
@@ -9,8 +9,8 @@
 /// Constants of the ingress role's decisions.
 struct IngressSettings
 {
-    /// How often a request may be declined before an upstream has to take it. Each try that may be declined
-    /// costs a round trip over a link, and the answers of three upstreams show the load of most nearby upstreams.
+    /// How often a request may be declined before an upstream has to take it. Each try that may be declined costs a
+    /// round trip over a link, and the answers of three upstreams show the load of most nearby upstreams.
     std::uint32_t maxQueries = 3;
     /// A node declines a request only if another upstream is better by this factor. Otherwise equally loaded upstreams
     /// would pass requests around.
