--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -23,7 +23,7 @@
                   decisions.ingress.placement.prices = {0.0, 0.0};
               }},
     Mechanism{"declining", "a node may decline a request that another upstream can answer faster",
-              [](DecisionSettings &decisions) { decisions.ingress.ingress.maxQueries = 0; }},
+              [](DecisionSettings &decisions) { decisions.ingress.ingress.maxDeclines = 0; }},
     Mechanism{"comfortable-fill", "upstreams are kept below the fill at which they become slower",
               [](DecisionSettings &decisions) { decisions.queue.maxFill = 1.0; }},
     Mechanism{"jitter", "nodes with the same old load reports don't all choose the same upstream",
--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -247,7 +247,7 @@
             placementRequest.excluded = {};
             choice = node.placement.choose(placementRequest);
         }
-        if (request.sendings <= settings_.decisions.ingress.ingress.maxQueries) {
+        if (request.sendings <= settings_.decisions.ingress.ingress.maxDeclines) {
             declineThreshold = scaled(choice->declineThreshold, settings_.decisions.ingress.ingress.declineMargin);
         }
         return choice->candidate;
--- a/src/ingress/ingresssettings.h
+++ b/src/ingress/ingresssettings.h
@@ -11,7 +11,7 @@
 {
     /// How often a request may be declined before an upstream has to take it. Each try that may be declined costs a
     /// round trip over a link, and the answers of three upstreams show the load of most nearby upstreams.
-    std::uint32_t maxQueries = 3;
+    std::uint32_t maxDeclines = 3;
     /// A node declines a request only if another upstream is better by this factor. Otherwise equally loaded upstreams
     /// would pass requests around.
     double declineMargin = 1.1;
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -93,7 +93,7 @@
     requestTry->node = record.node;
     requestTry->link = choice.link;
     requestTry->cancellation = std::make_shared<Cancellation>();
-    if (tryCount_ < context_->settings.maxQueries && choice.declineThreshold > Duration{0}) {
+    if (tryCount_ < context_->settings.maxDeclines && choice.declineThreshold > Duration{0}) {
         requestTry->declineThreshold = scaled(choice.declineThreshold, context_->settings.declineMargin);
     }
     return requestTry;
@@ -102,7 +102,7 @@
 /// If no other upstream is left, upstreams that declined are tried again, and one of them has to take the request.
 std::optional<PlacementChoice> RequestTries::choose(std::vector<PlacementCandidate> &candidates)
 {
-    const std::uint32_t maxQueries = context_->settings.maxQueries;
+    const std::uint32_t maxDeclines = context_->settings.maxDeclines;
     PlacementRequest request;
     request.candidates = candidates;
     request.demand.baselineTime = context_->baselineTime(*parameters_.route);
@@ -111,14 +111,14 @@
     request.targetLeft = parameters_.targetTime - request.now;
     request.bodies = Bytes(content_.body.size() + context_->sizes.typicalAnswerSize(parameters_.route->name).value());
     std::vector<UpstreamName> excluded = reachedUpstreams_;
-    const bool mayBeDeclined = tryCount_ < maxQueries;
+    const bool mayBeDeclined = tryCount_ < maxDeclines;
     if (mayBeDeclined) {
         excluded.insert(excluded.end(), declinedUpstreams_.begin(), declinedUpstreams_.end());
     }
     request.excluded = excluded;
     auto choice = context_->placement.choose(request);
     if (!choice && mayBeDeclined) {
-        tryCount_ = maxQueries;
+        tryCount_ = maxDeclines;
         request.excluded = reachedUpstreams_;
         choice = context_->placement.choose(request);
     }
@@ -283,9 +283,9 @@
         return false;
     }
     if (!reachedUpstream(requestTry, failure)) {
-        // After maxQueries tries the request is sent to the best of all upstreams, which may not decline it. If that
+        // After maxDeclines tries the request is sent to the best of all upstreams, which may not decline it. If that
         // upstream can't take the request in time, the others can't either.
-        return !(failure.reason == Reason::Overloaded && tryCount_ > context_->settings.maxQueries);
+        return !(failure.reason == Reason::Overloaded && tryCount_ > context_->settings.maxDeclines);
     }
     return reachedUpstreams_.size() < parameters_.route->maxAttempts && context_->budget.spend(content_.service);
 }
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -118,8 +118,8 @@
     /// Upstreams that may have got the request, and upstreams that declined it or can't take it.
     std::vector<UpstreamName> reachedUpstreams_;
     std::vector<UpstreamName> declinedUpstreams_;
-    /// The number of tries. It is raised to maxQueries when only upstreams that declined are left, so that no later try
-    /// may be declined.
+    /// The number of tries. It is raised to maxDeclines when only upstreams that declined are left, so that no later
+    /// try may be declined.
     std::uint32_t tryCount_ = 0;
     /// The upstream that last disconnected while it ran the request; empty if none did.
     UpstreamName disconnectedUpstream_;
--- a/tests/replay/replaytest.cpp
+++ b/tests/replay/replaytest.cpp
@@ -103,7 +103,7 @@
 TEST_CASE("nodes that may decline answer more requests in time")
 {
     ReplaySettings without;
-    without.decisions.ingress.ingress.maxQueries = 0;
+    without.decisions.ingress.ingress.maxDeclines = 0;
     CHECK(calmResult().worth() > meanOf(ReplayLoad(), without).worth() + 0.08);
     CHECK(burstResult().worth() > meanOf(burst(), without).worth() + 0.03);
 }
