--- a/src/idempotency/callstate.h
+++ b/src/idempotency/callstate.h
@@ -20,8 +20,7 @@
     /// The call may run once. A further try is sent only after each earlier try is proved not run.
     Once,
     /// The call may run once for its key, counted over all calls that carry the key. The upstream of the first try is
-    /// the
-    /// owner of the key, which recognizes repeated calls.
+    /// the owner of the key, which recognizes repeated calls.
     OncePerKey,
 };
 
--- a/tests/quarantine/quarantinefleettest.cpp
+++ b/tests/quarantine/quarantinefleettest.cpp
@@ -45,7 +45,7 @@
         fleet_.after(interval_, [this] { send(); });
     }
 
-    /// Crashes the upstream, unless it is down or the request was refused, and its run cancelled, in the meantime.
+    /// Crashes the upstream if it is still up and its node does not refuse the request yet. A refusal cancels the run.
     void finishRun(std::size_t upstream)
     {
         if (down_.contains(upstream) || fleet_.refuses(upstream, CrashingRequest)) {
