--- a/src/dialect/upstreamdialect.h
+++ b/src/dialect/upstreamdialect.h
@@ -17,7 +17,7 @@
     Milliseconds timeLeft{0};
     /// The only upstream that may run the request. Another upstream that now has the address refuses the request.
     UpstreamName target;
-    /// The service of the VM that sent the request.
+    /// The service on the VM where the request began.
     ServiceName callerService;
 };
 
--- a/src/egress/egressrole.cpp
+++ b/src/egress/egressrole.cpp
@@ -162,7 +162,8 @@
 
 asio::awaitable<void> EgressRole::probe()
 {
-    // Much longer than the requests that started the probe wait for it: a late answer still helps later requests.
+    // Much longer than maxProbeWait, the time for which a request waits for the probe: a late answer still helps later
+    // requests.
     const TimePoint deadline = currentTime() + Milliseconds(500);
     metrics_.count("egretpath_upstream_probes_total");
     auto opened = co_await pool_.open(settings_.upstream, deadline);
--- a/src/ingress/callertimeouts.cpp
+++ b/src/ingress/callertimeouts.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// The factor by which each request reduces the earlier counts. About the last fifty requests count.
+/// Each request multiplies the earlier counts by this factor. About the last fifty requests count.
 constexpr double CountDecay = 0.98;
 /// The maximum number of different values stored for a route. The rarest value is removed first. Without this limit
 /// callers could fill the memory with different values.
--- a/src/rpc/peerclient.h
+++ b/src/rpc/peerclient.h
@@ -17,7 +17,7 @@
 namespace Egretpath
 {
 
-/// Calls other nodes over Cap'n Proto RPC. Each node has one connection, and a second one for large bodies if needed.
+/// Calls other nodes over Cap'n Proto RPC. There is one connection to each, and a second for large bodies if needed.
 ///
 /// Cap'n Proto matches answers to their calls by question id, so answers may arrive in any order.
 /// Preconditions: an AsioEventPort lives on this thread; each call has a Cancellation of its own. Thread safety: none.
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -441,7 +441,7 @@
     }
 }
 
-/// Called when a peer has had newer versions than this node for a while, so that this node's own source has
+/// Called when a peer has had newer versions than this node for a while, which shows that this node's own source has
 /// stopped sending updates.
 asio::awaitable<void> CatalogController::catchUp()
 {
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -271,7 +271,8 @@
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
         deployment.first.sidecar->stop();
-        // From now on the route's timeout of 800 ms ends after the grace time of 1,200 ms.
+        // After this pause, the route's timeout of 800 ms reaches beyond the end of the process, which comes 250 ms
+        // before the end of the grace time of 1,200 ms.
         co_await deployment.sleep(Milliseconds(300));
         const Reply shortRequest =
             co_await deployment.send(deployment.first.callers, "GET", "/read/1", "r1", Milliseconds(400));
