--- a/src/daemons/egretpath.cpp
+++ b/src/daemons/egretpath.cpp
@@ -11,7 +11,8 @@
 #include "client/waitcommand.h"
 #include "platform/publishedroutes.h"
 
-/// The operators' client. It reads routes, logs and the state of nodes, and never writes to the platform.
+/// The operators' client. It reads and checks routes, reads logs and the state of nodes, and never writes to the
+/// platform.
 int main(int argumentCount, char **arguments)
 {
     const Egretpath::RouteReader reader = Egretpath::Platform::routesFromJson;
--- a/src/http/messageparser.h
+++ b/src/http/messageparser.h
@@ -61,7 +61,8 @@
     [[nodiscard]] bool keepAlive() const;
     /// Whether the body ends only when the server closes the connection. Precondition: isHeadDone().
     [[nodiscard]] bool needsEof() const;
-    /// Finishes the message after an orderly close by the server. Returns whether the message is complete.
+    /// Finishes the message after an orderly close by the server, which ends a body without a length. Returns whether
+    /// the message is complete.
     [[nodiscard]] bool finishAtEof();
     /// Precondition: isHeadDone().
     [[nodiscard]] HttpResponseHead takeHead();
--- a/tests/standins/relaydirection.h
+++ b/tests/standins/relaydirection.h
@@ -38,7 +38,7 @@
 
     RelayDirection(Socket from, Socket to, std::shared_ptr<const RelayConditions> conditions, bool towardsServer);
 
-    /// Starts to forward. The object lives until this direction has ended.
+    /// Starts to forward. The object lives until both its read loop and its write loop have ended.
     void start();
     /// Must be called when the conditions have changed or the connection was reset.
     void wake();
