--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -28,7 +28,7 @@
 constexpr std::size_t Regions = 3;
 constexpr std::array<Microseconds, LinkKindCount> OneWayDelays{Microseconds(200), Microseconds(1400),
                                                                Microseconds(8000)};
-constexpr unsigned MaxQueries = 3;
+constexpr unsigned MaxDeclines = 3;
 constexpr unsigned MaxSendings = 8;
 constexpr unsigned MaxRetries = 2;
 constexpr Milliseconds SlowdownWatchInterval{20};
@@ -278,8 +278,8 @@
     void onRefused(const RequestPointer &request, std::size_t upstream, Duration retryAfter)
     {
         request->excluded.push_back(nameOf(upstream));
-        const bool shouldSendAgain =
-            settings_.rule == ReplayRule::Egretpath ? request->sendings <= MaxQueries : request->sendings < MaxQueries;
+        const bool shouldSendAgain = settings_.rule == ReplayRule::Egretpath ? request->sendings <= MaxDeclines
+                                                                             : request->sendings < MaxDeclines;
         if (shouldSendAgain && request->sendings < MaxSendings) {
             send(request);
             return;
--- a/src/admission/vmslowdown.h
+++ b/src/admission/vmslowdown.h
@@ -47,7 +47,7 @@
     [[nodiscard]] double lowestSince(TimePoint time) const;
     void dropSamplesBefore(TimePoint time);
 
-    /// Changes of the slowdown, oldest first. The first one may have begun before the time range that is kept.
+    /// Changes of the slowdown, oldest first. The first change may have happened before the time range that is kept.
     std::deque<Sample> samples_;
     double factor_ = 1.0;
     bool isInSlowPeriod_ = false;
--- a/src/admission/workqueue.h
+++ b/src/admission/workqueue.h
@@ -76,8 +76,8 @@
 /// keep the slowdown until it ends and occupy its slot several times as long.
 ///
 /// Co-suspects are requests that were running when the same upstream disconnected. Only one of them runs on this
-/// upstream at a time. Otherwise an unrelated request could run beside the request that crashed the first upstream; the
-/// next upstream would crash too, and both requests would be suspected.
+/// upstream at a time. Otherwise an unrelated request could run together with the request that crashed the first
+/// upstream; the next upstream would crash too, and both requests would be suspected.
 ///
 /// Each offered call ends exactly once: by Refused, by an ExpiredCall, by cancel() while queued, or by finish(). Call
 /// expire() and then resume() after each event, and at nextExpiry().
--- a/src/egress/upstreamhealth.cpp
+++ b/src/egress/upstreamhealth.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// The time in which the weight of an answer falls to 1/e. At three answers a second, about ten answers count. They
+/// The time in which the weight of an answer falls to 1/e. At three answers per second, about ten answers count. They
 /// are forgotten some seconds after the last answer.
 constexpr std::chrono::duration<double> DecayTime{2.0};
 /// Successful answers that are assumed in addition to the recorded ones, so that a single failure does not cause
--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -51,10 +51,10 @@
 ///
 /// Load pattern: the store is unavailable for seconds. The fleet loses its readers, and all its nodes call the store at
 /// the store's worst moment. To avoid this, only the few readers and a few standbys for them keep calling the store.
-/// The other nodes keep their sources, which tell them that the store is unavailable and when it is back.
+/// The other nodes keep their sources, which report that the store is unavailable and when it is back.
 ///
 /// If the store refuses some nodes only, a node that lost its source finds a working reader by querying substitutes:
-/// standbys first, then readers of other regions. In addition, the whole fleet probes the store about once in a second,
+/// standbys first, then readers of other regions. In addition, the whole fleet probes the store about once per second,
 /// however large it is. A node whose sources are all silent gets no report on the store, so it reads the store itself.
 ///
 /// Thread safety: none; one owner. Errors: none.
--- a/src/instances/catalogtimes.h
+++ b/src/instances/catalogtimes.h
@@ -24,7 +24,7 @@
     Milliseconds followMargin{400};
     /// The store counts as available for this long after its reader last read it. Each step from the reader to a node
     /// may add one followWait. Without this limit, nodes that follow each other in a cycle would report the store as
-    /// available for ever.
+    /// available indefinitely.
     Milliseconds maxReportAge{3000};
     /// Pause between attempts to find a node to follow.
     Milliseconds followPause{100};
--- a/src/instances/instancedirectory.h
+++ b/src/instances/instancedirectory.h
@@ -61,7 +61,7 @@
     /// All changes up to @p revision have been applied.
     void advanceTo(StoreRevision revision);
 
-    /// This node can't read the store any more. @p lastStoreAvailable: when the store was last known to be available.
+    /// This node can no longer read the store. @p lastStoreAvailable: when the store was last known to be available.
     void onStoreLost(TimePoint lastStoreAvailable);
     /// Tells whether another node could read the store during the loss, so that only this node's link to it was cut.
     /// If so, leases were renewed meanwhile, and a record that the store no longer lists after the loss is dropped.
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -41,7 +41,8 @@
     std::vector<SuspectedRequest> refused;
 };
 
-/// Decides which requests no upstream may run any more, from the upstream crashes during which they were under way.
+/// Decides which requests may no longer run at any upstream, from the upstream crashes during which they were under
+/// way.
 ///
 /// Load pattern: a request crashes each upstream that runs it, and its callers send it again and again to any node. If
 /// each node decided alone, each would let the request crash another upstream. The nodes therefore combine the crashes
--- a/src/quarantine/quarantinegossip.h
+++ b/src/quarantine/quarantinegossip.h
@@ -18,7 +18,7 @@
     /// Nodes of each region that collect the crashes of a service. More than one, because one may be gone; some in each
     /// region, because regions may be cut off from each other.
     std::size_t collectorsPerRegion = 2;
-    /// Nodes to which a node passes on newly refused requests. With six, one node in 400 is told by no other node; it
+    /// Nodes to which a node passes on newly refused requests. With six, one node in 400 gets no such message; it
     /// learns of the requests with the next answer that it receives.
     std::size_t fanout = 6;
     /// Minimum time between two rounds of messages. When many requests become refused at once, messages get larger
@@ -30,7 +30,7 @@
     std::size_t maxPerMessage = 64;
 };
 
-/// Decides which nodes are told of suspected and refused requests.
+/// Decides to which nodes suspected and refused requests are reported.
 ///
 /// A crash is reported to a few collectors, which are the same nodes for all crashes of a service: two crashes of one
 /// request meet there, and the cost does not grow with the fleet. A refused request is gossiped: each node passes it on
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -64,7 +64,7 @@
     /// the upstream's node.
     double warmUpFactor = 1.5;
     LinkPrices prices;
-    /// Bytes of an exchange besides its bodies: headers and framing, which are compressed between regions.
+    /// Bytes of an exchange in addition to its bodies: headers and framing, which are compressed between regions.
     Bytes zoneOverhead{1300};
     Bytes regionOverhead{300};
 };
--- a/src/rpc/peerclient.h
+++ b/src/rpc/peerclient.h
@@ -27,7 +27,7 @@
 /// - NotRun/Cancelled: the permit was refused, or the call was cancelled before it was sent.
 /// - MayHaveRun/ConnectionLost: the connection broke after the call was queued to it.
 /// - MayHaveRun/DeadlinePassed, MayHaveRun/Cancelled: no answer came before the deadline or the cancellation; the
-///   peer is told to cancel the call.
+///   peer is asked to cancel the call.
 class PeerClient
 {
 public:
--- a/src/rpc/peermessages.h
+++ b/src/rpc/peermessages.h
@@ -62,7 +62,7 @@
     /// always a failure, with the reason None if the egress would take the call.
     bool dryRun = false;
     /// The upstream that last disconnected while it ran this call in an earlier try; empty if none did. This call, or
-    /// another one that ran beside it, may have crashed the upstream.
+    /// another one that ran at the same time, may have crashed the upstream.
     UpstreamName disconnectedUpstream;
 };
 
--- a/src/settings/sidecarsettings.cpp
+++ b/src/settings/sidecarsettings.cpp
@@ -68,8 +68,8 @@
             return fromHex(text, settings.allowedRequests.emplace_back());
         });
         readZones(settings.zones);
-        readNumber("repeats", "ratio", settings.repeatRatio);
-        readNumber("repeats", "slack", settings.repeatSlack);
+        readNumber("repeats", "ratio", settings.retryRatio);
+        readNumber("repeats", "slack", settings.retrySlack);
         readNumber("links", "zone_price_per_kib", settings.linkPrices.zonePerKiB);
         readNumber("links", "region_price_per_kib", settings.linkPrices.regionPerKiB);
         readDuration("stop", "grace", settings.grace);
--- a/src/settings/sidecarsettings.h
+++ b/src/settings/sidecarsettings.h
@@ -60,8 +60,8 @@
     std::vector<Endpoint> seeds;
 
     // [repeats]
-    double repeatRatio = 0.2;
-    double repeatSlack = 0.0;
+    double retryRatio = 0.2;
+    double retrySlack = 0.0;
 
     // [quarantine]
     /// Fingerprints of requests that may run even if upstreams crashed while running them.
--- a/src/sidecar/catalogcontroller.h
+++ b/src/sidecar/catalogcontroller.h
@@ -124,7 +124,7 @@
     bool hasBootstrapped_ = false;
     /// Only this node's connection to the store is lost. Upstreams whose leases expire are likely to be cut off too.
     bool isCutOff_ = false;
-    /// Whether the directory was last told that the store is lost.
+    /// Whether the store was last reported to the directory as lost.
     bool isStoreLost_ = false;
     std::optional<NewerPeer> newerPeer_;
     /// Wakes the requests that wait for an update. Never expires; cancelled when the routes, the list or the store's
--- a/src/sidecar/catalogsource.h
+++ b/src/sidecar/catalogsource.h
@@ -53,8 +53,8 @@
     /// the source.
     virtual void attach(CatalogSink &sink) = 0;
     /// Starts reading: the changes after @p listReached, or everything if it is zero. If @p wasLost, the source counts
-    /// as lost, and the sink is told when the store answers. A source that already reads starts again, since its calls
-    /// may hang on connections that have failed silently. While the store is unavailable, calls are at most
+    /// as lost, and the sink is notified when the store answers. A source that already reads starts again, since its
+    /// calls may hang on connections that have failed silently. While the store is unavailable, calls are at most
     /// @p maxInterval apart.
     virtual void resume(StoreRevision listReached, bool wasLost, Milliseconds maxInterval) = 0;
     /// Stops reading: a node that follows another node needs no calls of its own.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -45,7 +45,7 @@
 /// The platform stops sending callers to a node only after two readiness checks, a second apart, have failed.
 constexpr Milliseconds MinStopTime{2400};
 /// When no request was in progress for this long, the node assumes that nobody sends anything more. An upstream that
-/// still runs beside the node goes on sending calls, so that a longer quiet time may never come.
+/// still runs next to the node goes on sending calls, so that a longer quiet time may never come.
 constexpr Milliseconds QuietTimeBeforeExit{120};
 /// The process exits by itself this long before the end of the grace time. SIGKILL at its end would cut off what the
 /// process still writes.
@@ -154,8 +154,8 @@
     void reload(const SidecarSettings &settings)
     {
         state_.settings.seeds = settings.seeds;
-        state_.settings.repeatRatio = settings.repeatRatio;
-        state_.settings.repeatSlack = settings.repeatSlack;
+        state_.settings.retryRatio = settings.retryRatio;
+        state_.settings.retrySlack = settings.retrySlack;
         state_.settings.grace = settings.grace;
         state_.settings.linkPrices = settings.linkPrices;
         state_.settings.allowedRequests = settings.allowedRequests;
@@ -232,7 +232,7 @@
         state_.log.info(line);
     }
 
-    void applyRetryLimits() { ingress_.setRetryLimits({state_.settings.repeatRatio, state_.settings.repeatSlack}); }
+    void applyRetryLimits() { ingress_.setRetryLimits({state_.settings.retryRatio, state_.settings.retrySlack}); }
 
     void catalogChanged()
     {
--- a/tests/admission/workqueuetest.cpp
+++ b/tests/admission/workqueuetest.cpp
@@ -307,7 +307,7 @@
         for (const ExpiredCall &expired : queue.expire(at(now))) {
             refuse(expired.call.value(), now);
         }
-        // Eighty requests arrive a second, while four slots of 100 ms complete forty.
+        // Eighty requests arrive per second, while four slots of 100 ms complete forty.
         if (now % 25 == 0) {
             for (int count = 0; count < 2; ++count) {
                 arrivals[++call] = now;
@@ -391,8 +391,8 @@
     CHECK(queue.finish(CallId(77), true, at(1)).empty());
 }
 
-// Guards against suspecting an unrelated request. If it runs again beside the request that crashed its upstream, the
-// next upstream crashes too, and both requests are suspected.
+// Guards against suspecting an unrelated request. If it runs again together with the request that crashed its upstream,
+// the next upstream crashes too, and both requests are suspected.
 TEST_CASE("requests that were running when the same upstream disconnected run one at a time")
 {
     WorkQueue queue = trainedQueue();
--- a/tests/instances/catalogplantest.cpp
+++ b/tests/instances/catalogplantest.cpp
@@ -163,8 +163,8 @@
     CHECK(plan.store(now, false) == StoreState::Available);
 }
 
-// Guards against a node that waits for ever for an update: it was told that the store is unavailable, and then all
-// other nodes stopped answering.
+// Guards against a node that waits indefinitely for an update: its source reported that the store is unavailable, and
+// then all other nodes stopped answering.
 TEST_CASE("the last living node reads the store itself after an outage")
 {
     constexpr int Nodes = 18;
--- a/tests/instances/instancedirectorytest.cpp
+++ b/tests/instances/instancedirectorytest.cpp
@@ -132,7 +132,7 @@
 }
 
 // Guards against requests to dead upstreams. All VMs lose power and start again. For four seconds the list holds the
-// dead upstreams beside their successors, so that every other request would go to a dead one first.
+// dead upstreams together with their successors, so that every other request would go to a dead one first.
 TEST_CASE("an upstream whose address another upstream has taken is no longer used")
 {
     InstanceDirectory directory;
--- a/tests/rpc/peerconnecttest.cpp
+++ b/tests/rpc/peerconnecttest.cpp
@@ -77,7 +77,7 @@
 // Guards against uploads to one service that fail by timeout for all callers of a VM as long as the node runs, while
 // other nodes reach the same upstream. A network device between the two nodes has dropped its state of their
 // connection: it takes bytes, forwards nothing, closes nothing, and answers the TCP keepalive probes.
-TEST_CASE("a connection on which nothing arrives any more is replaced by a new one")
+TEST_CASE("a connection on which nothing more arrives is replaced by a new one")
 {
     AsioEventPort loop;
     asio::ip::tcp::acceptor acceptor(loop.context(), {asio::ip::make_address("127.0.0.1"), 0});
--- a/tests/settings/sidecarsettingstest.cpp
+++ b/tests/settings/sidecarsettingstest.cpp
@@ -66,7 +66,7 @@
     CHECK(settings.value().starters.value().empty());
     CHECK(settings.value().seeds.size() == 2);
     CHECK(settings.value().zones.size() == 2);
-    CHECK(settings.value().repeatSlack == 56.0);
+    CHECK(settings.value().retrySlack == 56.0);
     CHECK(settings.value().grace == Milliseconds(6000));
 }
 
--- a/tests/sidecar/catalogtest.cpp
+++ b/tests/sidecar/catalogtest.cpp
@@ -96,7 +96,7 @@
 
 // Guards against a region that keeps old routes while its reader is cut off from the store: routes are moved to another
 // service, and the followers of the reader have no watch of their own.
-TEST_CASE("a follower whose reader can't read the store any more reads it itself")
+TEST_CASE("a follower whose reader can no longer read the store reads the store itself")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
--- a/tests/sidecar/fakecatalog.h
+++ b/tests/sidecar/fakecatalog.h
@@ -26,7 +26,7 @@
     void remove(const std::string &id);
     /// The upstream announces that it drains.
     void drain(const std::string &id);
-    /// Like drain(), but only the node with number @p node is told.
+    /// Like drain(), but only the node with number @p node is notified.
     void announceDrainOnlyTo(std::size_t node, const std::string &id);
     /// Reports to all readers that the store can't be read.
     void lose();
--- a/tests/sidecar/sidecarfixture.cpp
+++ b/tests/sidecar/sidecarfixture.cpp
@@ -51,7 +51,7 @@
     settings.upstream = upstream.address();
     settings.store = Endpoint("127.0.0.1:1");
     settings.seeds = seeds;
-    settings.repeatSlack = 40;
+    settings.retrySlack = 40;
     settings.grace = Milliseconds(1200);
     settings.logLevel = LogLevel::Error;
     return settings;
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -284,9 +284,9 @@
     });
 }
 
-// Guards against requests that are queued beside an upstream when it starts to drain, and reach it long after it
+// Guards against requests that are queued for an upstream when it starts to drain, and reach it long after it
 // announced this.
-TEST_CASE("requests that are queued beside an upstream that drains go to another upstream")
+TEST_CASE("requests that are queued for an upstream that drains go to another upstream")
 {
     constexpr int RunningRequests = 4;
     constexpr int QueuedRequests = 2;
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -182,7 +182,7 @@
     deployment_.writeInvalidSettings(member);
     member.process->signal(SIGHUP);
     co_await sleepFor(std::min(fault.length, Milliseconds{300}));
-    deployment_.writeSettings(member, options_.repeatSlack);
+    deployment_.writeSettings(member, options_.retrySlack);
     member.process->signal(SIGHUP);
 }
 
--- a/tests/soak/promisechecker.cpp
+++ b/tests/soak/promisechecker.cpp
@@ -122,7 +122,7 @@
     }
     Attempt &attempt = found->second;
     Arrivals &arrivals = arrivals_[service];
-    (attempt.arrivals++ == 0 ? arrivals.requests : arrivals.repeats).push_back(currentTime());
+    (attempt.arrivals++ == 0 ? arrivals.requests : arrivals.retries).push_back(currentTime());
     checkRequest(attempt, upstream, request);
     checkDeadline(attempt, upstream, request);
 }
@@ -342,7 +342,7 @@
     for (const auto &[id, attempt] : attempts_) {
         checkAttempt(attempt);
     }
-    checkRepeats();
+    checkRetries();
     for (const auto &[promise, findings] : toleratedFindings_) {
         if (findings.size() > MaxToleratedFindings) {
             recordViolation(promise, std::to_string(findings.size()) + " times, the first: " + findings.front());
@@ -400,23 +400,23 @@
     }
 }
 
-/// Compares the repeats in each window with the requests of this window or of the window before, whichever are more.
-void PromiseChecker::checkRepeats()
+/// Compares the retries in each window with the requests of this window or of the window before, whichever are more.
+void PromiseChecker::checkRetries()
 {
     for (const auto &[service, arrivals] : arrivals_) {
         const auto countIn = [](const std::vector<TimePoint> &times, TimePoint from, TimePoint to) {
             return std::lower_bound(times.begin(), times.end(), to)
                 - std::lower_bound(times.begin(), times.end(), from);
         };
-        for (const TimePoint begin : arrivals.repeats) {
-            const auto repeats = static_cast<double>(countIn(arrivals.repeats, begin, begin + bounds_.repeatWindow));
-            const auto requests = countIn(arrivals.requests, begin, begin + bounds_.repeatWindow);
-            const auto previousRequests = countIn(arrivals.requests, begin - bounds_.repeatWindow, begin);
+        for (const TimePoint begin : arrivals.retries) {
+            const auto retries = static_cast<double>(countIn(arrivals.retries, begin, begin + bounds_.retryWindow));
+            const auto requests = countIn(arrivals.requests, begin, begin + bounds_.retryWindow);
+            const auto previousRequests = countIn(arrivals.requests, begin - bounds_.retryWindow, begin);
             const double allowed =
-                bounds_.repeatRatio * static_cast<double>(std::max(requests, previousRequests)) + bounds_.repeatSlack;
-            if (repeats > allowed) {
+                bounds_.retryRatio * static_cast<double>(std::max(requests, previousRequests)) + bounds_.retrySlack;
+            if (retries > allowed) {
                 recordViolation("repeats within their budget",
-                                service.value() + ": " + std::to_string(repeats) + " against "
+                                service.value() + ": " + std::to_string(retries) + " against "
                                     + std::to_string(allowed));
                 break;
             }
--- a/tests/soak/promisechecker.h
+++ b/tests/soak/promisechecker.h
@@ -69,9 +69,9 @@
     Milliseconds drain{2000};
     /// Added to each time bound, since the machine that runs the soak may be busy with other work.
     Milliseconds slack{500};
-    double repeatRatio = 0.2;
-    double repeatSlack = 40;
-    Milliseconds repeatWindow{10'000};
+    double retryRatio = 0.2;
+    double retrySlack = 40;
+    Milliseconds retryWindow{10'000};
     /// Time within which the nodes report to each other a request that crashes upstreams.
     Milliseconds quarantineGossip{3000};
 };
@@ -154,7 +154,7 @@
     struct Arrivals
     {
         std::vector<TimePoint> requests;
-        std::vector<TimePoint> repeats;
+        std::vector<TimePoint> retries;
     };
 
     /// One process of a node, from its start to its exit.
@@ -187,7 +187,7 @@
     void checkAttempt(const Attempt &attempt);
     void checkCutOff(const Attempt &attempt);
     void checkDisconnected(const Attempt &attempt);
-    void checkRepeats();
+    void checkRetries();
     [[nodiscard]] bool isNodeFaultFree(const Attempt &attempt, TimePoint until) const;
     /// Whether no unplanned fault hit the node beside @p upstream.
     [[nodiscard]] bool isUpstreamNodeFaultFree(const UpstreamName &upstream, TimePoint from, TimePoint to) const;
--- a/tests/soak/soakcallers.h
+++ b/tests/soak/soakcallers.h
@@ -17,7 +17,7 @@
 namespace Egretpath
 {
 
-/// Simulates the callers beside each node, and the calls that upstreams make while they work.
+/// Simulates the callers of each node, and the calls that upstreams make while they work.
 ///
 /// Requests are sent at planned times, whether or not earlier requests were answered. Callers reuse connections or open
 /// new ones, wait as long as Retry-After says before they retry a refusal, and some disconnect early. Thread safety:
@@ -28,7 +28,7 @@
     SoakCallers(boost::asio::io_context &context, SoakDeployment &deployment, const RoutePublisher &routePublisher,
                 PromiseChecker &checker, Random random);
 
-    /// Starts to send about @p rate requests a second at each node, until @p end.
+    /// Starts to send about @p rate requests per second at each node, until @p end.
     void start(double rate, TimePoint end);
     /// Multiplies the request rate by @p factor.
     void setRateFactor(double factor) { rateFactor_ = factor; }
--- a/tests/soak/soakdeployment.cpp
+++ b/tests/soak/soakdeployment.cpp
@@ -87,7 +87,7 @@
     reapChildren();
     for (const auto &member : members_) {
         startUpstream(*member);
-        writeSettings(*member, options_.repeatSlack);
+        writeSettings(*member, options_.retrySlack);
         member->process->start();
     }
 }
@@ -157,7 +157,7 @@
     return text;
 }
 
-void SoakDeployment::writeSettings(const Member &member, double repeatSlack)
+void SoakDeployment::writeSettings(const Member &member, double retrySlack)
 {
     std::ofstream file(filePath(member, ".toml"), std::ios::trunc);
     file << "[node]\nname = \"node-" << member.number << "\"\nservice = " << quoted(member.service.value())
@@ -171,7 +171,7 @@
     for (const std::string zone : Zones) {
         file << quoted(zone) << " = " << quoted(zone.substr(0, zone.find('-'))) << '\n';
     }
-    file << "[repeats]\nratio = " << options_.repeatRatio << "\nslack = " << repeatSlack << "\n[stop]\ngrace = \""
+    file << "[repeats]\nratio = " << options_.retryRatio << "\nslack = " << retrySlack << "\n[stop]\ngrace = \""
          << options_.grace.count() << "ms\"\n[log]\ndecisions_per_second = 200\n";
 }
 
@@ -251,7 +251,7 @@
     timer->async_wait([this, &member, timer](const boost::system::error_code &error) {
         if (!error && !isStopping_ && !member.process->isRunning()) {
             // The platform writes the settings at each start too.
-            writeSettings(member, options_.repeatSlack);
+            writeSettings(member, options_.retrySlack);
             member.process->start();
         }
     });
--- a/tests/soak/soakdeployment.h
+++ b/tests/soak/soakdeployment.h
@@ -31,8 +31,8 @@
     std::uint64_t seed = 1;
     Milliseconds grace{6000};
     Milliseconds work{20};
-    double repeatRatio = 0.2;
-    double repeatSlack = 40;
+    double retryRatio = 0.2;
+    double retrySlack = 40;
 };
 
 /// One VM: the process of a node, the upstream beside it, and relays on the links to them.
@@ -81,7 +81,7 @@
     [[nodiscard]] Member &member(NodeNumber number) { return *members_.at(number); }
 
     /// Writes the settings of @p member. The node reads them at its next start or reload.
-    void writeSettings(const Member &member, double repeatSlack);
+    void writeSettings(const Member &member, double retrySlack);
     /// Writes a settings file that can't be parsed.
     void writeInvalidSettings(const Member &member);
     void startUpstream(Member &member);
--- a/tests/soak/soakmain.cpp
+++ b/tests/soak/soakmain.cpp
@@ -44,7 +44,7 @@
     app.add_option("--seconds", seconds, "duration of the load in seconds; no fault starts in the last 6 s");
     app.add_option("--nodes", options.deployment.nodes, "number of nodes; each runs as its own process")
         ->check(CLI::Range(3, 200));
-    app.add_option("--rate", options.rate, "requests a second at each node");
+    app.add_option("--rate", options.rate, "requests per second at each node");
     app.add_option("--faults", kinds, "fault kinds to draw from, separated by commas; all by default")->delimiter(',');
     app.add_option("--known-kinds", options.faults.knownKinds,
                    "draw from the first kinds only, as many as when the seed was recorded")
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -19,7 +19,7 @@
     DeploymentOptions deployment;
     FaultPlanOptions faults;
     PromiseBounds bounds;
-    /// Requests a second at each node.
+    /// Requests per second at each node.
     double rate = 15;
     /// Whether the load runs without faults.
     bool withoutFaults = false;
