--- a/src/admission/workqueue.h
+++ b/src/admission/workqueue.h
@@ -45,7 +45,7 @@
     /// Time that a refusal needs to reach the sender. A refusal that arrives after the deadline can't tell the sender
     /// that nothing ran.
     Milliseconds refusalLead{25};
-    /// Maximum number of queued calls that miss their target, as a share of the limit. Further such calls are refused
+    /// Maximum number of queued calls that miss their target, as a share of limit(). Further such calls are refused
     /// at once: during an overload they would wait behind all calls that can still be in time, and would be refused
     /// only at their deadline.
     double maxLateBacklog = 1.0;
@@ -104,8 +104,8 @@
     [[nodiscard]] OfferOutcome offer(const WorkOffer &offer, TimePoint now);
     /// The failure with which offer() would refuse @p offer now; nothing if offer() would accept it. Changes no state.
     [[nodiscard]] std::optional<Failure> rejection(const WorkOffer &offer, TimePoint now) const;
-    /// The upstream has finished with @p call. If @p answered, its duration is recorded as a service time; else the
-    /// full duration would have been longer. Returns the queued calls that start now, in order.
+    /// The upstream has finished with @p call. If @p answered, its duration is recorded as a service time; else it is
+    /// recorded as the least that the full duration would have been. Returns the queued calls that start now, in order.
     [[nodiscard]] std::vector<CallId> finish(CallId call, bool answered, TimePoint now);
     CancelOutcome cancel(CallId call);
     /// Removes and returns the queued calls that can no longer meet their deadline, or have waited longer than
--- a/src/client/exitcode.h
+++ b/src/client/exitcode.h
@@ -3,7 +3,7 @@
 namespace Egretpath
 {
 
-/// The exit code of the client. Scripts can tell a negative result from an incorrect call by it.
+/// The exit code of the client, by which scripts can tell a negative result from an incorrect call.
 enum class ExitCode : int {
     /// The result is positive, or the work is done.
     Success = 0,
--- a/src/client/lossescommand.h
+++ b/src/client/lossescommand.h
@@ -8,10 +8,10 @@
 namespace Egretpath
 {
 
-/// `egretpath losses LOG...`: prints for each route the outcomes of its requests, their lateness, waits and sendings,
-/// as comma-separated values for a spreadsheet.
+/// `egretpath losses LOG...`: prints for each route the outcomes of its requests, their lateness, waits and tries, as
+/// comma-separated values for a spreadsheet.
 ///
-/// Only lines of the logs are counted. A node that drops decision lines reports it in egretpath_log_lines_dropped.
+/// Counts only what the logs contain. A node that drops decision lines counts them in egretpath_log_lines_dropped.
 /// Thread safety: none.
 class LossesCommand final : public Command
 {
--- a/src/client/waitcommand.h
+++ b/src/client/waitcommand.h
@@ -8,7 +8,8 @@
 namespace Egretpath
 {
 
-/// `egretpath wait`: waits until routes are active at all nodes. Reads only from the nodes. Thread safety: none.
+/// `egretpath wait`: waits until a version of the routes, or a newer one, is active at all nodes. Reads only from the
+/// nodes. Thread safety: none.
 class WaitCommand : public Command
 {
 public:
--- a/src/core/clock.h
+++ b/src/core/clock.h
@@ -9,7 +9,7 @@
 using TimePoint = std::chrono::steady_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-/// Wall clock time. Only idempotency keys use it, because they are passed between processes.
+/// Wall clock time. Meant only for idempotency keys, because they are passed between processes. Not used at present.
 using WallTime = std::chrono::system_clock::time_point;
 
 using Milliseconds = std::chrono::milliseconds;
--- a/src/core/strongtype.h
+++ b/src/core/strongtype.h
@@ -55,7 +55,7 @@
 /// Identifies one run of a node process. A restarted or replaced node at the same address has another incarnation.
 /// It is a random number chosen at start, so that it needs neither a clock nor a disk. Zero means "unknown".
 using Incarnation = StrongType<struct IncarnationTag, std::uint64_t>;
-/// The number that operators give a route table; a larger number is newer.
+/// The number that operators give a route table; a larger number is newer. Not used at present; see RouteVersion.
 using TableNumber = StrongType<struct TableNumberTag, std::uint64_t>;
 /// A number of bytes.
 using Bytes = StrongType<struct BytesTag, std::uint64_t>;
--- a/src/egress/egressrole.h
+++ b/src/egress/egressrole.h
@@ -34,7 +34,7 @@
     Endpoint upstream;
     std::string healthPath = "/health";
     /// Before a request is admitted, the upstream is probed if the known slowdown of the VM is older than this. The
-    /// limit is a part of the length of a slow period.
+    /// limit is a fraction of the length of a slow period.
     Milliseconds slowdownMaxAge{60};
     /// How long a request waits for that probe. After this time it is admitted with the old slowdown.
     Milliseconds maxProbeWait{12};
@@ -43,8 +43,8 @@
     Milliseconds slowdownWatchInterval{20};
     /// The interval between two probes while a request takes longer at the upstream than expected; see UpstreamAccount.
     Milliseconds accountInterval{150};
-    /// Whether the node uses UpstreamAccount: it ends requests that the upstream has lost, and requests at the upstream
-    /// that are not from this node take slots.
+    /// Whether the node uses UpstreamAccount. If so, the node ends requests that the upstream has lost, and external
+    /// requests (see WorkQueue::setExternalRequests()) take slots.
     bool keepsAccount = true;
     WorkQueueSettings queue;
     /// Idle connections to the upstream are closed after this time. Upstreams close idle connections after 5 s or more.
--- a/src/egress/workslots.h
+++ b/src/egress/workslots.h
@@ -46,7 +46,7 @@
     void setFailureShare(double share) { queue_.setFailureShare(share); }
 
     /// Calls @p listener whenever a request starts or continues to wait for a change that only a probe of the upstream
-    /// can show: the end of the VM's slow period, or the end of requests there that are not from this node.
+    /// can show: the end of the VM's slow period, or the end of external requests there.
     void onUpstreamUpdatesNeeded(std::function<void()> listener) { updatesNeededListener_ = std::move(listener); }
     [[nodiscard]] bool needsUpstreamUpdates(TimePoint now) const
     {
--- a/src/http/httpserverconnection.h
+++ b/src/http/httpserverconnection.h
@@ -84,9 +84,9 @@
     std::deque<std::shared_ptr<HttpServerExchange>> exchanges_;
     /// A timer that never expires; cancelled to wake up its waiters when an exchange was completed.
     boost::asio::steady_timer completionSignal_;
-    /// Waiting for the first byte of a request head.
+    /// Whether the connection waits for the first byte of a request head.
     bool waitsForRequest_ = true;
-    /// Reading the rest of a request head.
+    /// Whether the connection reads the rest of a request head.
     bool isReadingHead_ = false;
     bool isReading_ = true;
     bool isDraining_ = false;
--- a/src/http/socketio.h
+++ b/src/http/socketio.h
@@ -15,8 +15,8 @@
 ///
 /// A network partition or a lost VM leaves connections open without a reset. Nothing more arrives on them, and sent
 /// bytes wait for the kernel's retransmissions, which take minutes by default. Keep-alive detects an idle dead
-/// connection within three seconds, TCP_USER_TIMEOUT a dead connection with unacknowledged bytes. Both close the
-/// connection with an error.
+/// connection within three seconds, and TCP_USER_TIMEOUT detects a dead connection with unacknowledged bytes. Both
+/// close the connection with an error.
 void prepareSocket(boost::asio::ip::tcp::socket &socket);
 
 /// Reads once into @p buffer. Errors: those of the socket; eof at the end of the stream; no_buffer_space if the buffer
--- a/src/idempotency/latenessguard.h
+++ b/src/idempotency/latenessguard.h
@@ -16,8 +16,7 @@
     /// The minimum transit time is taken over the current and the previous window with calls, so that a jump of a
     /// peer's clock is forgotten.
     Duration window = std::chrono::minutes(1);
-    /// How much the two monotonic clocks may drift apart, in parts per million. An observed minimum is raised by this
-    /// rate.
+    /// How much the two clocks may drift apart, in parts per million. An observed minimum is raised by this rate.
     std::int64_t driftPartsPerMillion = 200;
     /// Maximum number of peers remembered; beyond it the peer whose last call is oldest is forgotten.
     std::size_t maxPeers = 32'768;
@@ -25,21 +24,23 @@
 
 /// Finds calls that were delayed on their way, in a paused process or on a stalled link, without synchronized clocks.
 ///
-/// The minimum difference between the arrival time here and the sending time there, by the monotonic clocks of the two
-/// processes, stands for the clock offset plus the minimum transit time. The amount by which a call exceeds the minimum
-/// is its delay.
+/// The minimum difference between the arrival time here and the sending time there, by the boot clocks of the two VMs
+/// (see timeSinceBoot()), stands for the clock offset plus the minimum transit time. The amount by which a call exceeds
+/// the minimum is its delay.
+///
 /// The guard cannot detect a delay that all calls of both windows shared, the delay of the first call from a peer, the
-/// minimum transit time itself, or a delay shorter than the drift since the minimum was observed. If the monotonic
-/// clock of a peer stood still while its VM was suspended, later calls look late for up to two windows. They may then
-/// be refused without need, but no call runs that should have been refused. Thread safety: none; one strand owns it.
+/// minimum transit time itself, or a delay shorter than the drift since the minimum was observed. If the clock of a
+/// peer stood still while its VM was suspended, as a monotonic clock does, later calls look late for up to two windows.
+/// They may then be refused without need, but no call runs that should have been refused. Thread safety: none; one
+/// strand owns it.
 class LatenessGuard
 {
 public:
     explicit LatenessGuard(LatenessLimits limits = {});
 
-    /// Returns by how much the transit time of this call exceeds the minimum. @p sentAt is the peer's monotonic time,
-    /// read by the peer just before sending and counted from the peer's own epoch. Errors: none; zero for the first
-    /// call from a peer.
+    /// Returns by how much the transit time of this call exceeds the minimum. @p sentAt is the peer's time, read by the
+    /// peer just before sending and counted from the peer's own epoch. @p arrivedAt is this node's time by the same
+    /// kind of clock. Errors: none; zero for the first call from a peer.
     [[nodiscard]] Duration observe(Incarnation peer, Duration sentAt, TimePoint arrivedAt);
 
     /// Forgets a peer. Not needed on reconnection: the clocks stay the same while the incarnation does.
--- a/src/ingress/ingressrole.h
+++ b/src/ingress/ingressrole.h
@@ -16,9 +16,9 @@
 /// The limits on retries, which are requests sent to a second upstream. All nodes share these limits.
 struct RetryLimits
 {
-    /// Retries for each request.
+    /// Maximum number of retries for each request, on average over all requests.
     double ratio = 0.2;
-    /// Additional retries of all nodes together.
+    /// Maximum number of additional retries of all nodes together.
     double slack = 0.0;
 };
 
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -74,8 +74,8 @@
 
     /// Whether a try at another upstream may still bring a better answer than @p answer.
     [[nodiscard]] bool mayRetryAfterAnswer(const CallOutcome &answer) const;
-    /// Records that the try brought no answer for the caller. @p failure: the failure of the try, or the failure as
-    /// which its answer counts.
+    /// Records that the try brought no answer for the caller. @p failure: the failure of the try, or the failure that
+    /// its answer counts as.
     [[nodiscard]] NextStep recordFailure(const RequestTry &requestTry, const Failure &failure);
     /// Whether another try may follow a failed one. If so, its cost is taken from the retry budget.
     [[nodiscard]] bool mayRetry(const RequestTry &requestTry, const Failure &failure);
--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -105,7 +105,8 @@
     }
     /// When the reader that this node gets its updates from last read the store.
     [[nodiscard]] TimePoint lastStoreReadAt() const { return lastStoreReadAt_; }
-    /// The last time at which a node is known to have read the store. A record that expired unnoticed did so later.
+    /// The last time at which a node is known to have read the store. Records that expired without any node noticing
+    /// expired after this time.
     [[nodiscard]] TimePoint lastStoreAvailable() const { return lastStoreAvailable_; }
     /// When this node's own calls to the store began to fail; nothing while they succeed.
     [[nodiscard]] const std::optional<TimePoint> &ownReadsFailingSince() const { return ownReadsFailingSince_; }
@@ -141,15 +142,15 @@
     /// Since when this node has read the store without a failure; nothing while it does not read or its calls fail.
     std::optional<TimePoint> ownStoreAvailableSince_;
     std::optional<TimePoint> ownReadsFailingSince_;
-    /// The store has answered this node since it began to read.
+    /// Whether the store has answered this node since the node began to read.
     bool hasRead_ = false;
-    /// A source has reported the store as unavailable, and none has reported otherwise since.
+    /// Whether a source has reported the store as unavailable, and none has reported otherwise since.
     bool hasUnavailableReport_ = false;
-    /// All substitutes were queried since that report, without a usable answer.
+    /// Whether all substitutes were queried since that report, without a usable answer.
     bool isSearchExhausted_ = false;
-    /// No source was found yet, or all sources are silent.
+    /// Whether no source was found yet, or all sources are silent.
     bool hasNoSource_ = true;
-    /// A probe by this node succeeded although other nodes report the store as unavailable.
+    /// Whether a probe by this node succeeded although other nodes report the store as unavailable.
     bool hasStoreProbeSucceeded_ = false;
     std::optional<TimePoint> nextStoreProbe_;
 };
--- a/src/instances/catalogtimes.h
+++ b/src/instances/catalogtimes.h
@@ -44,8 +44,8 @@
     /// Interval between calls to an unavailable store: of a reader and of a standby.
     Milliseconds readerInterval{700};
     Milliseconds standbyInterval{1400};
-    /// Mean interval between one node's probes of a store that is reported as unavailable, for each node of the fleet.
-    /// The whole fleet probes about once in this time.
+    /// While the store is reported as unavailable, each node probes it at a mean interval of this time multiplied by
+    /// the number of nodes in the fleet. The whole fleet therefore probes about once in this time.
     Milliseconds probeIntervalPerNode{1000};
     Milliseconds minProbeInterval{5000};
 };
--- a/src/routing/answersizes.h
+++ b/src/routing/answersizes.h
@@ -10,8 +10,8 @@
 
 /// Tracks the answer sizes of each route, as seen at one ingress.
 ///
-/// The cost of a request on a link that is billed by volume is known only when its answer has arrived: a request for a
-/// report of many KiB and one for a lookup of some hundred bytes look alike.
+/// The cost of a request on a link that is paid for by volume is known only when its answer has arrived: a request for
+/// a report of many KiB and one for a lookup of some hundred bytes look alike.
 ///
 /// Thread safety: none; one owner. Errors: none.
 class AnswerSizes
--- a/src/routing/link.h
+++ b/src/routing/link.h
@@ -12,7 +12,7 @@
 enum class LinkKind : std::uint8_t {
     InZone,
     BetweenZones,
-    /// Billed by volume.
+    /// Paid for by volume.
     BetweenRegions,
 };
 
--- a/src/routing/placement.h
+++ b/src/routing/placement.h
@@ -46,7 +46,7 @@
     /// Expected time from now to the answer, including the round trip on the link.
     Duration expected{0};
     /// If the chosen upstream's node expects to take longer than this, the second-best upstream is the better choice;
-    /// zero if there is no other that is not ejected.
+    /// zero if there is no other upstream or all others are ejected.
     Duration declineThreshold{0};
     LinkKind link = LinkKind::InZone;
 };
--- a/src/routing/retrybudget.h
+++ b/src/routing/retrybudget.h
@@ -10,7 +10,7 @@
 /// Tuning constants of RetryBudget.
 struct RetryBudgetSettings
 {
-    /// Retries and hedges that each first try allows.
+    /// Retries that each first try allows.
     double share = 0.1;
     /// Maximum number of retries that a service can save up for a burst.
     double serviceBurst = 10.0;
@@ -18,7 +18,7 @@
     double nodeBurst = 20.0;
 };
 
-/// Limits retries and hedges to a share of first tries, for each service and for the whole node.
+/// Limits retries to a share of first tries, for each service and for the whole node.
 ///
 /// Load pattern: a retry storm. When many upstreams fail at once, retries multiply the load just when there is least
 /// capacity. With the budget, the load sent stays below (1 + share) times the first tries, however many fail.
--- a/src/rpc/peer.capnp
+++ b/src/rpc/peer.capnp
@@ -19,11 +19,13 @@
   queued @1 :UInt32;
   slots @2 :UInt32;
   serviceTime @3 :UInt32;
+  # Smoothed service time of calls of the reported route, at the VM's baseline speed. 0 is unknown.
   leaving @4 :Bool;
+  # The node is stopping and refuses new requests for the upstream.
   pacePercent @5 :UInt16;
   # The VM's slowdown: how long work takes on it now, in percent of the baseline. 100 is normal, 0 is unknown.
   meanService @6 :UInt32;
-  # Smoothed service time of calls of all kinds, at the VM's baseline speed. 0 is unknown.
+  # Smoothed service time of calls of all routes, at the VM's baseline speed. 0 is unknown.
   failurePercent @7 :UInt8;
   # Failures among the upstream's latest answers.
   arrivalDelay @8 :UInt32;
--- a/src/sidecar/catalogcontents.h
+++ b/src/sidecar/catalogcontents.h
@@ -35,7 +35,8 @@
 
     [[nodiscard]] CatalogVersions versions() const;
     [[nodiscard]] bool isBehind(const CatalogVersions &versions) const;
-    /// Whether there is an update for a node that has @p have. A node that has nothing needs routes and list together.
+    /// Whether there is an update for a node that has @p have. For a node that has nothing, only routes and list
+    /// together are an update.
     [[nodiscard]] bool hasUpdatesFor(const CatalogVersions &have) const;
     /// Writes to @p catalog what a node that has @p have lacks.
     void writeUpdates(const CatalogVersions &have, Catalog &catalog) const;
--- a/src/sidecar/catalogcontroller.h
+++ b/src/sidecar/catalogcontroller.h
@@ -120,9 +120,10 @@
     CatalogBootstrap bootstrap_;
     TimePoint startedAt_;
     StoreReading reading_ = StoreReading::None;
-    /// The seeds were asked. From now on the plan decides whether this node reads the store.
+    /// Whether the seeds were asked. From then on the plan decides whether this node reads the store.
     bool hasBootstrapped_ = false;
-    /// Only this node's connection to the store is lost. Upstreams whose leases expire are likely to be cut off too.
+    /// Whether this node can't reach the store although other nodes can. Upstreams whose leases expire meanwhile are
+    /// probably alive and only cut off from the store, like this node.
     bool isCutOff_ = false;
     /// Whether the store was last reported to the directory as lost.
     bool isStoreLost_ = false;
--- a/src/sidecar/quarantinecontroller.h
+++ b/src/sidecar/quarantinecontroller.h
@@ -19,10 +19,10 @@
 /// Shares with other nodes the knowledge of requests that crash upstreams.
 ///
 /// A crash is reported to the collectors of the upstream's service: the nodes that combine all crashes of the service.
-/// A request that is refused from then on is forwarded from node to node. A node that missed the request, because
-/// it has just started or was cut off, learns of it from the next answer of any node that refuses a different set of
-/// requests. Both the answer to a call and the answer to a catalog request carry the digest that shows this. Thread
-/// safety: none. Precondition: references outlive the controller.
+/// The fingerprint of a request that is refused from then on is passed on from node to node. A node that missed it,
+/// because it has just started or was cut off, learns of it from the next answer of any node that refuses a different
+/// set of requests. Both the answer to a call and the answer to a catalog request carry the digest that shows this.
+/// Thread safety: none. Precondition: references outlive the controller.
 class QuarantineController
 {
 public:
@@ -46,7 +46,7 @@
     /// Sends @p requests to @p node, several times if it does not answer, and applies the requests in its answer.
     boost::asio::awaitable<void> sendUpdate(Endpoint node, std::vector<SuspectedRequest> requests);
     void reportCrashes(const std::vector<SuspectedRequest> &known);
-    /// Applies what @p from reported, and forwards what is new.
+    /// Applies what @p from reported, and passes on what is new.
     void apply(const std::vector<SuspectedRequest> &received, const std::string &from);
     void recordRefused(const std::vector<SuspectedRequest> &refused, const std::string &from);
     void forward(const std::vector<SuspectedRequest> &refused);
