--- a/src/admission/servicetimes.cpp
+++ b/src/admission/servicetimes.cpp
@@ -25,8 +25,8 @@
 /// A sample is limited to this multiple of the mean.
 constexpr double MaxSampleRatio = 3.0;
 
-/// Minimum difference of the natural logarithms of the two estimates. Closer estimates give no evidence on whether work
-/// follows the VM's slowdown.
+/// Minimum difference of the natural logarithms of the two estimates in recordStartSlowdownEvidence(). Closer estimates
+/// give no evidence on whether work follows the VM's slowdown.
 constexpr double MinLogDifference = 0.3;
 /// Weight of the newest request in startSlowdownEvidence_.
 constexpr double EvidenceGain = 0.1;
--- a/src/admission/stopadmission.cpp
+++ b/src/admission/stopadmission.cpp
@@ -11,7 +11,7 @@
 {
 
 /// Share of the difference by which the longest answer time moves towards a shorter new one. The longest answer is
-/// remembered for some hundred answers.
+/// remembered for a few hundred answers.
 constexpr double LongestDecay = 0.005;
 /// Safety factor on the longest answer time. A node sees one or two of the longest answers per second, too few to have
 /// observed the longest work on the slowest VM.
--- a/src/admission/upstreamaccount.cpp
+++ b/src/admission/upstreamaccount.cpp
@@ -79,9 +79,8 @@
     }
 }
 
-/// Settles the records that were made SettleDelay or more before the query that was just answered was sent. During the
-/// round trip of that query the node has read the answers that were in flight, even if its process was suspended
-/// meanwhile.
+/// Settles each record that was at least SettleDelay old when the latest query was sent. During the round trip of that
+/// query the node has read the answers that were in flight, even if its process was suspended meanwhile.
 void UpstreamAccount::settleLossRecords()
 {
     for (LossRecord &record : lossRecords_) {
--- a/src/admission/vmslowdown.cpp
+++ b/src/admission/vmslowdown.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// A VM that has not been faster for this long is not in a slow period.
+/// A slow period lasts at most this long. A VM that stays slow for longer is not in a slow period.
 constexpr Milliseconds SlowPeriodMemory{1000};
 /// Time range of the samples for baselineTimeBetween(); longer than nearly all work.
 constexpr Milliseconds SampleMemory{5000};
@@ -20,7 +20,8 @@
 /// Upper limit of the lowest slowdown of a VM whose samples do not cover SlowPeriodMemory: an upstream that has just
 /// started on a VM at the baseline speed is about twice as slow as later.
 constexpr double DefaultLowestFactor = 2.0;
-/// Used before the end of a slow period was observed; of the order of a scheduler's time slices under contention.
+/// Assumed length of a slow period until one has been observed to end; of the order of a scheduler's time slices under
+/// contention.
 constexpr double DefaultSlowPeriodSeconds = 0.2;
 /// Weight of the newest slow period in the mean, which covers about the last ten.
 constexpr double SlowPeriodGain = 0.1;
--- a/src/admission/workqueue.cpp
+++ b/src/admission/workqueue.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr double Percent = 100.0;
-/// Four fifths of five slots are four, but binary fractions may yield slightly less.
+/// Added before limit() rounds down: four fifths of five slots are four, but binary fractions may yield slightly less.
 constexpr double RoundingTolerance = 1e-9;
 /// Lower limit of the time for which a late call stays queued, even if it was late on arrival; about the time in which
 /// one slot becomes free.
--- a/src/egress/upstreamexitmonitor.cpp
+++ b/src/egress/upstreamexitmonitor.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// A process on the same VM that refuses a connection does so at once.
+/// The upstream is on the same VM, so a connection to it is refused at once if its process has exited.
 constexpr Milliseconds ConnectTimeout{250};
 /// All connections to a process end within this time after its exit.
 constexpr Milliseconds SameCrashWindow{250};
--- a/src/egress/upstreamrequest.cpp
+++ b/src/egress/upstreamrequest.cpp
@@ -25,7 +25,7 @@
 constexpr Milliseconds DrainingRetryAfter{50};
 constexpr std::uint16_t FirstServerError = 500;
 constexpr std::uint16_t GatewayTimeoutStatus = 504;
-constexpr double BaselineSlowdown = 100.0;
+constexpr double Percent = 100.0;
 /// A request is overdue after this many times the time expected for it: its baseline time multiplied by the VM's
 /// slowdown. Hardly any work takes so long.
 constexpr double OverdueFactor = 2.5;
@@ -93,9 +93,9 @@
 void UpstreamRequest::startOverdueTimer()
 {
     const LoadReport report = role_.report(head_.route);
-    const double slowdown = std::max(report.slowdownPercent / BaselineSlowdown, 1.0);
-    const Duration baseline = scaled(Microseconds(report.serviceTimeMicroseconds), slowdown);
-    overdueTimer_.expires_after(std::max<Duration>(scaled(baseline, OverdueFactor), MinOverdueTime));
+    const double slowdown = std::max(report.slowdownPercent / Percent, 1.0);
+    const Duration expectedTime = scaled(Microseconds(report.serviceTimeMicroseconds), slowdown);
+    overdueTimer_.expires_after(std::max<Duration>(scaled(expectedTime, OverdueFactor), MinOverdueTime));
     overdueTimer_.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const auto request = weak.lock();
         if (!error && request && request->isAtUpstream_) {
@@ -108,8 +108,8 @@
 asio::awaitable<CallOutcome> UpstreamRequest::run()
 {
     const auto self = shared_from_this();
-    if (auto refusal = co_await admit()) {
-        CallOutcome ended = outcome(std::move(*refusal));
+    if (auto rejection = co_await admit()) {
+        CallOutcome ended = outcome(std::move(*rejection));
         logEnd(ended);
         co_return ended;
     }
@@ -162,10 +162,10 @@
             .value_or(notRun(Reason::None, "it would be taken"));
     }
     role_.waitingRequests_.emplace(callId_, this);
-    std::optional<Failure> refusal = co_await role_.slots_.acquire(offer, head_.targetUpstream, cancellation_);
+    std::optional<Failure> rejection = co_await role_.slots_.acquire(offer, head_.targetUpstream, cancellation_);
     role_.waitingRequests_.erase(callId_);
-    holdsSlot_ = !refusal;
-    co_return refusal;
+    holdsSlot_ = !rejection;
+    co_return rejection;
 }
 
 WorkOffer UpstreamRequest::makeOffer() const
--- a/src/idempotency/callstate.cpp
+++ b/src/idempotency/callstate.cpp
@@ -55,12 +55,12 @@
     if (hasEnded() || !isOpen) {
         return NextStep::Ignore;
     }
-    const bool isProved = item->state == TryState::Prepared || failure.verdict == Verdict::NotRun;
-    item->state = isProved ? TryState::NotRun : TryState::MayHaveRun;
+    const bool isTryNotRun = item->state == TryState::Prepared || failure.verdict == Verdict::NotRun;
+    item->state = isTryNotRun ? TryState::NotRun : TryState::MayHaveRun;
     if (hasOpenTry()) {
         return NextStep::Wait;
     }
-    if (tries_.size() >= maxTries_ || (repetition_ == Repetition::Once && !isProved)) {
+    if (tries_.size() >= maxTries_ || (repetition_ == Repetition::Once && !isTryNotRun)) {
         return NextStep::GiveUp;
     }
     return NextStep::MayRetry;
--- a/src/ingress/proxiedrequest.cpp
+++ b/src/ingress/proxiedrequest.cpp
@@ -76,7 +76,7 @@
         co_return notRun(Reason::Cancelled, "the caller went away");
     }
     // Reading the body, or waiting for the answers to earlier requests, may have taken long.
-    if (auto failure = stopRefusal(*context_, parameters_)) {
+    if (auto failure = stopRejection(*context_, parameters_)) {
         co_return failure;
     }
     makeTries(std::move(body));
@@ -203,9 +203,9 @@
 
 asio::awaitable<void> ProxiedRequest::deliver(const RequestTry &requestTry, CallOutcome outcome)
 {
-    // The state has ended this try already if the answer counted as failed and is delivered because no retry is
-    // possible.
-    [[maybe_unused]] const bool first = tries_->state().acceptAnswer(requestTry.number);
+    // The result is ignored: the state has ended this try already if the answer counted as failed and is delivered
+    // because no retry is possible.
+    [[maybe_unused]] const bool isAccepted = tries_->state().acceptAnswer(requestTry.number);
     auto *complete = std::get_if<CompleteAnswer>(&outcome.result);
     if (complete == nullptr) {
         co_return;
--- a/src/ingress/requestparameters.cpp
+++ b/src/ingress/requestparameters.cpp
@@ -18,7 +18,7 @@
 constexpr Milliseconds RestartTime{1000};
 /// Callers honour a retry delay of up to a third of the time that they have left.
 constexpr int MaxRetryDelayDivisor = 3;
-/// The timeout assumed for a caller that gives none if no route was found for its request.
+/// The timeout assumed for a caller that gives none and whose request matches no route.
 constexpr Milliseconds DefaultTimeout{1000};
 
 TimePoint findTargetTime(IngressContext &context, const RequestParameters &parameters)
@@ -61,10 +61,10 @@
     const Milliseconds timeout = parameters.route->timeout;
     parameters.deadline = parameters.arrival + std::min(parameters.caller.timeout.value_or(timeout), timeout);
     parameters.targetTime = findTargetTime(context, parameters);
-    return stopRefusal(context, parameters);
+    return stopRejection(context, parameters);
 }
 
-std::optional<Failure> stopRefusal(IngressContext &context, const RequestParameters &parameters)
+std::optional<Failure> stopRejection(IngressContext &context, const RequestParameters &parameters)
 {
     const TimePoint now = currentTime();
     if (context.stop.accepts(parameters.route->name, parameters.deadline, now)) {
--- a/src/ingress/requestparameters.h
+++ b/src/ingress/requestparameters.h
@@ -33,7 +33,7 @@
                                                     RequestParameters &parameters);
 /// Returns why a stopping node refuses the request, or nothing if the node takes it. Precondition: readParameters()
 /// found a route. Thread safety: none.
-[[nodiscard]] std::optional<Failure> stopRefusal(IngressContext &context, const RequestParameters &parameters);
+[[nodiscard]] std::optional<Failure> stopRejection(IngressContext &context, const RequestParameters &parameters);
 /// Returns the delay after which a refused caller may retry. It is @p preferred, or a default if that is zero, plus a
 /// random part, so that callers refused together don't retry together. It is never so long that the caller gives up.
 /// Thread safety: none.
--- a/src/ingress/requesttries.cpp
+++ b/src/ingress/requesttries.cpp
@@ -99,7 +99,7 @@
     return requestTry;
 }
 
-/// If no other upstream is left, upstreams that declined are tried again, and one of them has to take the request.
+/// If no other upstream is left, upstreams that declined are tried again, and the chosen one must not decline again.
 std::optional<PlacementChoice> RequestTries::choose(std::vector<PlacementCandidate> &candidates)
 {
     const std::uint32_t maxDeclines = context_->settings.maxDeclines;
@@ -140,7 +140,7 @@
     std::optional<Result<CallOutcome>> outcome;
     context_->view.onSent(requestTry->upstream);
     if (requestTry->node == context_->localNode.endpoint) {
-        outcome = co_await sendHere(requestTry, std::move(head));
+        outcome = co_await sendLocally(requestTry, std::move(head));
     } else {
         outcome = co_await sendToPeer(requestTry, std::move(head));
     }
@@ -154,7 +154,7 @@
     endedListener_();
 }
 
-asio::awaitable<Result<CallOutcome>> RequestTries::sendHere(RequestTryPointer requestTry, CallHead head)
+asio::awaitable<Result<CallOutcome>> RequestTries::sendLocally(RequestTryPointer requestTry, CallHead head)
 {
     if (!permitSending(*requestTry, head)) {
         co_return notRun(Reason::Cancelled, "ended before it was sent");
@@ -283,8 +283,8 @@
         return false;
     }
     if (!reachedUpstream(requestTry, failure)) {
-        // After maxDeclines tries the request is sent to the best of all upstreams, which may not decline it. If that
-        // upstream can't take the request in time, the others can't either.
+        // After maxDeclines tries the request is sent to the best of all upstreams, which must not decline it. If
+        // that upstream can't take the request in time, the others can't either.
         return !(failure.reason == Reason::Overloaded && tryCount_ > context_->settings.maxDeclines);
     }
     return reachedUpstreams_.size() < parameters_.route->maxAttempts && context_->budget.spend(content_.service);
--- a/src/ingress/requesttries.h
+++ b/src/ingress/requesttries.h
@@ -95,7 +95,7 @@
     [[nodiscard]] RequestTryPointer makeTry(TryNumber number, const InstanceRecord &record,
                                             const PlacementChoice &choice) const;
     boost::asio::awaitable<void> send(RequestTryPointer requestTry, CallHead head, std::shared_ptr<RequestTries> self);
-    boost::asio::awaitable<Result<CallOutcome>> sendHere(RequestTryPointer requestTry, CallHead head);
+    boost::asio::awaitable<Result<CallOutcome>> sendLocally(RequestTryPointer requestTry, CallHead head);
     /// Sends the request to another node. A large body is sent only after the node accepted the request in a dry run.
     boost::asio::awaitable<Result<CallOutcome>> sendToPeer(RequestTryPointer requestTry, CallHead head);
     /// Asks the node whether it would take the request. Returns the end of the try if the node would not take it.
--- a/src/instances/catalogplan.cpp
+++ b/src/instances/catalogplan.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-/// The largest number of nodes that an update passes through: twice the depth of the trees. A longer chain is a cycle
-/// in which no node reads the store.
+/// The largest number of nodes that an update passes through: twice the depth of the follower trees. A longer chain is
+/// a cycle in which no node reads the store.
 constexpr std::uint8_t MaxHops = 8;
 /// A store that stops answering is noticed after this time at the latest.
-constexpr Milliseconds SilenceDetectionTime{1300};
+constexpr Milliseconds StoreLossDetectionTime{1300};
 
 }
 
@@ -54,7 +54,7 @@
 void CatalogPlan::onOwnReadsFailed(TimePoint now)
 {
     if (std::exchange(ownStoreAvailableSince_, std::nullopt)) {
-        lastStoreAvailable_ = std::max<TimePoint>(lastStoreAvailable_, now - SilenceDetectionTime);
+        lastStoreAvailable_ = std::max<TimePoint>(lastStoreAvailable_, now - StoreLossDetectionTime);
     }
     ownReadsFailingSince_ = now;
 }
--- a/src/instances/readerelection.cpp
+++ b/src/instances/readerelection.cpp
@@ -12,12 +12,12 @@
 {
 
 /// A node and the hash by which it is ranked.
-struct Ranked
+struct RankedNode
 {
     std::uint64_t hash = 0;
     Endpoint node;
 
-    friend auto operator<=>(const Ranked &, const Ranked &) = default;
+    friend auto operator<=>(const RankedNode &, const RankedNode &) = default;
 };
 
 }
@@ -84,12 +84,12 @@
 
 std::vector<Endpoint> ReaderElection::readersOfOtherRegions(const InstanceDirectory &directory) const
 {
-    std::map<RegionName, Ranked> firstByRegion;
+    std::map<RegionName, RankedNode> firstByRegion;
     directory.forEachReady([&](const InstanceRecord &record) {
         if (record.location.region == region_) {
             return;
         }
-        const Ranked candidate{stableHash(record.node.value()), record.node};
+        const RankedNode candidate{stableHash(record.node.value()), record.node};
         const auto [it, isNew] = firstByRegion.try_emplace(record.location.region, candidate);
         if (!isNew && candidate < it->second) {
             it->second = candidate;
@@ -126,7 +126,7 @@
 /// The nodes of this region in the order of their hashes. They include @p own even if its upstream is not listed yet.
 std::vector<Endpoint> ReaderElection::rankedNodes(const InstanceDirectory &directory, const Endpoint &own) const
 {
-    std::vector<Ranked> ranked{{stableHash(own.value()), own}};
+    std::vector<RankedNode> ranked{{stableHash(own.value()), own}};
     directory.forEachReady([&](const InstanceRecord &record) {
         if (record.location.region == region_) {
             ranked.push_back({stableHash(record.node.value()), record.node});
@@ -134,7 +134,7 @@
     });
     std::sort(ranked.begin(), ranked.end());
     std::vector<Endpoint> nodes;
-    for (Ranked &item : ranked) {
+    for (RankedNode &item : ranked) {
         // Two records can have the same node.
         if (nodes.empty() || nodes.back() != item.node) {
             nodes.push_back(std::move(item.node));
--- a/src/quarantine/quarantine.cpp
+++ b/src/quarantine/quarantine.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Maximum number of crashes remembered for one request. Four are enough to refuse a request even if all were of
-/// upstreams that flap, so further ones add nothing. The limit keeps messages small.
+/// Maximum number of crashes remembered for one request. Four are enough to refuse a request even if all were
+/// crashes of flapping upstreams, so further ones add nothing. The limit keeps messages small.
 constexpr std::size_t MaxCrashesKept = 4;
 
 Milliseconds elapsed(TimePoint from, TimePoint to)
--- a/src/quarantine/quarantinegossip.cpp
+++ b/src/quarantine/quarantinegossip.cpp
@@ -14,9 +14,10 @@
 namespace
 {
 
+/// A node and the hash by which it is ranked.
 struct RankedNode
 {
-    std::uint64_t rank = 0;
+    std::uint64_t hash = 0;
     Endpoint node;
 
     friend auto operator<=>(const RankedNode &, const RankedNode &) = default;
--- a/src/quarantine/upstreamexits.cpp
+++ b/src/quarantine/upstreamexits.cpp
@@ -11,7 +11,7 @@
 /// Older exits are not counted.
 constexpr std::chrono::minutes MaxExitAge{2};
 constexpr std::size_t MaxExits = 8;
-/// An upstream flaps from this number of exits on that no request explains. Fewer may be chance.
+/// An upstream counts as flapping after at least this many exits that no refused request explains. Fewer may be chance.
 constexpr std::ptrdiff_t MinUnexplainedExits = 2;
 
 }
--- a/src/routing/placement.cpp
+++ b/src/routing/placement.cpp
@@ -82,8 +82,8 @@
     choice.expected = fromSeconds(best.seconds);
     choice.link = linkBetween(ownLocation_, request.candidates[best.candidate].location);
     if (compared > 1 && !rated_[1].isEjected) {
-        // The chosen upstream's node measures time without the round trip on the link, so the round trip is subtracted:
-        // trying the second-best upstream costs that round trip as well.
+        // The chosen upstream's node measures time without the round trip on the link, so the round trip is subtracted.
+        // Trying the second-best upstream after a decline costs that round trip as well.
         const double target = inSeconds(std::max(request.targetLeft, MinTarget));
         const double share = shareOfTargetAt(rated_[1].cost - best.linkCost);
         choice.declineThreshold = fromSeconds(std::max(share * target - best.roundTripSeconds, 0.0));
--- a/src/routing/placementview.cpp
+++ b/src/routing/placementview.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// One at @p seen, falling to 1/e after @p memory.
+/// Returns a weight that is one at @p seen and has fallen to 1/e after @p memory.
 double freshness(TimePoint seen, Duration memory, TimePoint now)
 {
     const std::chrono::duration<double> age = std::max(now - seen, Duration{0});
--- a/src/rpc/peerserver.cpp
+++ b/src/rpc/peerserver.cpp
@@ -66,7 +66,8 @@
     Wire::AnswerSink::Client sink_;
 };
 
-/// Cancels the call when its promise is dropped, because the ingress sent a Finish message or its connection is lost.
+/// Cancels the call when its promise is dropped. KJ drops it when the ingress sends a Finish message or the connection
+/// is lost.
 class CancelOnDrop
 {
 public:
--- a/src/rpc/peerstream.cpp
+++ b/src/rpc/peerstream.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// The window reaches back across an answer of some KiB to the head of the previous message, since heads mostly repeat
-/// the previous one.
+/// The window reaches back across an answer of some KiB to the head of the previous message, since most of a head
+/// repeats the head before it.
 constexpr int WindowBits = 13;
 /// Limits the hash table to 16 KiB, since there is a stream for each node of another region that is called.
 constexpr int MemoryLevel = 5;
--- a/src/rpc/wireconversion.cpp
+++ b/src/rpc/wireconversion.cpp
@@ -327,7 +327,8 @@
 
 StoreState readStoreState(std::uint8_t wire)
 {
-    // A state that this version does not know, or that a node of an earlier version did not send, is not relied on.
+    // A state that this version does not know, or that a node of an earlier version did not send, is read as
+    // Unavailable.
     return wire == static_cast<std::uint8_t>(StoreState::Recovering) ? StoreState::Recovering : StoreState::Unavailable;
 }
 
--- a/src/sidecar/catalogbootstrap.cpp
+++ b/src/sidecar/catalogbootstrap.cpp
@@ -52,14 +52,15 @@
 asio::awaitable<void> CatalogBootstrap::waitForAnswers()
 {
     asio::steady_timer timer(executor_);
-    // A seed that answers late is starting itself and reads the store just now. If callers wait, this node doesn't wait
+    // A seed that answers late is itself starting and still reading the store. If callers wait, this node doesn't wait
     // for the seed.
     while (!callbacks_.isFollowing() && pendingAnswers_ > 0 && !hasWaitingCallers_) {
         timer.expires_after(times_.seedStagger);
         co_await timer.async_wait(asio::use_awaitable);
     }
-    // The seeds already call a store that is unavailable to them, so this node waits before it calls as well. It still
-    // calls in the end, in case the store refuses the seeds only. The random wait spreads these calls over time.
+    // The seeds already call a store that is unavailable to them, so this node waits before it calls the store as well.
+    // It still calls in the end, in case the store refuses only the seeds. The random wait spreads these calls over
+    // time.
     std::exponential_distribution<double> waitDistribution(1.0);
     const auto maxWait =
         std::chrono::duration_cast<Duration>(times_.minProbeInterval * waitDistribution(state_.random));
--- a/src/sidecar/catalogcontroller.cpp
+++ b/src/sidecar/catalogcontroller.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-/// Peers asked in one round. One of them may be cut off itself. With two, an update spreads through a fleet in a few
-/// rounds.
+/// Number of peers asked in one round. A peer may itself be cut off. With two peers, an update spreads through a fleet
+/// in a few rounds.
 constexpr std::size_t PeersPerRound = 2;
 
 SourceReport reportOf(const Catalog &catalog)
@@ -93,7 +93,7 @@
             wakeWaitingRequests();
         }
     });
-    // A node that has just started makes the request wait as well: it may soon have read everything.
+    // A node that has just started holds the request as well, because it may soon have read everything itself.
     const auto hasNewStoreState = [this, &request] {
         return storeState() != request.knownState && (state_.directory.hasList() || plan_.ownReadsFailingSince());
     };
@@ -204,8 +204,8 @@
     log_.setReadsStore(shouldRead);
     if (shouldRead && !reads) {
         plan_.beginReading(currentTime());
-        const bool standby = wanted == StoreReading::Standby;
-        source_.resume(state_.directory.revision(), true, standby ? times_.standbyInterval : times_.readerInterval);
+        const bool isStandby = wanted == StoreReading::Standby;
+        source_.resume(state_.directory.revision(), true, isStandby ? times_.standbyInterval : times_.readerInterval);
     } else if (reads && !shouldRead) {
         source_.suspend();
     }
@@ -362,7 +362,7 @@
     }
 }
 
-/// Guards against mass expiry: VMs that are cut off from the store can't renew their entries and disappear from the
+/// Guards against mass expiry: VMs that are cut off from the store can't renew their leases and disappear from the
 /// list, though they are alive and reach each other. A node among them that reads the store itself knows that it is cut
 /// off and goes on using them. A node among them that follows a node which still reads the store has to check its own
 /// access.
--- a/src/sidecar/quarantinecontroller.cpp
+++ b/src/sidecar/quarantinecontroller.cpp
@@ -19,10 +19,10 @@
 {
 
 constexpr Milliseconds AnswerTimeout{500};
-/// Delay before the update is sent again to a node that did not answer. Twice as long after each attempt.
+/// Delay before the update is sent again to a node that did not answer; twice as long after each attempt.
 constexpr Milliseconds InitialRetryDelay{100};
 constexpr int MaxSendAttempts = 5;
-/// Interval between exchanges with nodes that refuse a different set of requests. Twice as long after each exchange
+/// Interval between exchanges with nodes that refuse a different set of requests; twice as long after each exchange
 /// that left a difference.
 constexpr Milliseconds MinExchangeInterval{20};
 constexpr Milliseconds MaxExchangeInterval{5000};
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -248,7 +248,7 @@
         ingress_.catalogChanged();
     }
 
-    /// Logs the first time that callers may be sent to this node.
+    /// Logs when this node becomes ready for callers for the first time.
     void reportReady()
     {
         if (!state_.isReady() || std::exchange(hasBeenReady_, true)) {
@@ -335,7 +335,7 @@
         const TimePoint end = startedAt + std::max<Duration>(state_.settings.grace - ExitMargin, Duration{0});
         const TimePoint earliestEnd = std::min<TimePoint>(startedAt + MinStopTime, end);
         // A request that outlasts the process would be cut off. So the ingress refuses it at once: its caller is told
-        // that it has not run, and when the next process will be here.
+        // that the request has not run, and when the next process will have started.
         ingress_.beginStop(end);
         TimePoint lastBusy = startedAt;
         asio::steady_timer timer(executor_);
