--- a/tests/adapter/storewatchertest.cpp
+++ b/tests/adapter/storewatchertest.cpp
@@ -142,7 +142,7 @@
 }
 
 // The store rejects the calls of all nodes for eight seconds. Guards against nodes that keep calling it for routes and
-// for the list: on a small fleet these calls cost more than all others of the day.
+// for the list: in a small fleet these calls cost more than all others of the day.
 TEST_CASE("while the store is lost, only one of the watches calls it, and both continue when it answers again")
 {
     Fixture fixture;
@@ -202,7 +202,7 @@
 }
 
 // The store is silent when a follower starts to read for itself. The first packet of its connection is lost and is sent
-// again after many seconds only. Guards against a node that uses old routes long after the store answers again: the
+// again only after many seconds. Guards against a node that uses old routes long after the store answers again: the
 // first watches must time out soon, and long ones follow once the store has answered.
 TEST_CASE("the first watches of a watcher that starts to read are short")
 {
@@ -221,8 +221,7 @@
     CHECK(waits[5] > 10'000);
 }
 
-// Guards against a reader on a link of little bandwidth that falls behind further with each version of a large route
-// table.
+// Guards against a reader on a low-bandwidth link that falls further behind with each version of a large route table.
 TEST_CASE("versions of many routes in quick succession do not delay the newest one")
 {
     constexpr std::uint64_t TenMegabits = 1'250'000;
--- a/tests/admission/vmslowdowntest.cpp
+++ b/tests/admission/vmslowdowntest.cpp
@@ -77,7 +77,8 @@
     CHECK(slowdown.baselineTimeBetween(at(350), at(400)) == Milliseconds(50));
 }
 
-// Guards against work that starts in a slow period on a node that has just started and knows nothing else of its VM.
+// Guards against work that starts in a slow period because the node has just started and has no earlier sample of its
+// VM. The "pace" in the title is the slowdown of the VM, and a "slow spell" is a slow period.
 TEST_CASE("the first pace that is seen is a slow spell if it is far from what a start explains")
 {
     VmSlowdown slow;
--- a/tests/admission/workqueuetest.cpp
+++ b/tests/admission/workqueuetest.cpp
@@ -256,9 +256,9 @@
     CHECK(queue.expected(offerOf(99, 20'000), at(20'000)) == Milliseconds(400));
 }
 
-// Guards against declining an urgent request because of calls that it goes before. A payment waits for an internal
-// check of 20 ms, which goes before the queued reads of its upstream. If the check is judged by the wait of the whole
-// queue, one upstream after the other declines it until its payment fails.
+// Guards against declining an urgent request because of queued calls that start after it. A payment waits for an
+// internal check of 20 ms, which starts before the queued reads of its upstream. If the check is judged by the wait of
+// the whole queue, one upstream after the other declines it until its payment fails.
 TEST_CASE("the expected time of a request includes the queued requests before it, not those behind it")
 {
     WorkQueue queue = trainedQueue();
--- a/tests/http/awaitedcheck.h
+++ b/tests/http/awaitedcheck.h
@@ -8,7 +8,7 @@
 {
 
 /// CHECK() for an awaited value. Catch2's macros contain their expression twice, the second time in code that is never
-/// executed. g++ 12 executes a co_await there nevertheless, which would run the operation again.
+/// executed. g++ 12 executes a co_await there nevertheless and so runs the operation again.
 template<typename Value>
 void checkAwaited(const Value &value, boost::source_location location = BOOST_CURRENT_LOCATION)
 {
--- a/tests/idempotency/callstatetest.cpp
+++ b/tests/idempotency/callstatetest.cpp
@@ -30,7 +30,7 @@
 
 }
 
-TEST_CASE("a call that was never sent is not run, unless an earlier call may have used its key")
+TEST_CASE("a call that was never sent ends as not-run, unless an earlier call may have used its key")
 {
     for (const auto &[repetition, verdict] :
          {std::pair(Repetition::Repeatable, Verdict::NotRun), std::pair(Repetition::Once, Verdict::NotRun),
@@ -42,7 +42,7 @@
     }
 }
 
-TEST_CASE("a call that was sent is not run only if the egress proves it")
+TEST_CASE("a call that was sent ends as not-run only if the egress proves it")
 {
     for (const Repetition repetition : {Repetition::Repeatable, Repetition::Once, Repetition::OncePerKey}) {
         CallState unanswered = callSentOnce(repetition);
@@ -117,7 +117,7 @@
     CHECK(call.phase() == CallPhase::GivenUp);
 }
 
-TEST_CASE("tries stop at the maximum, are sent once, and neither start nor are sent past the deadline")
+TEST_CASE("a call has at most its maximum of tries, each is sent once, and none starts or is sent past the deadline")
 {
     CallState limited = callSentOnce(Repetition::Repeatable, 1);
     CHECK(limited.startTry(Second, Start).error().reason == Reason::BudgetSpent);
@@ -130,7 +130,7 @@
     CHECK(late.startTry(First, Deadline).error().reason == Reason::DeadlinePassed);
 }
 
-TEST_CASE("a refusal before the first try keeps its own verdict, a later one gets the verdict of the tries")
+TEST_CASE("a refusal before the first try keeps its own verdict, and a later one gets the verdict of the tries")
 {
     CallState unsent = callState(Repetition::OncePerKey);
     CHECK(unsent.refuse(notRun(Reason::BadKey))->verdict == Verdict::NotRun);
--- a/tests/instances/catalogfleet.cpp
+++ b/tests/instances/catalogfleet.cpp
@@ -15,7 +15,7 @@
 const TimePoint Start{std::chrono::seconds(1000)};
 constexpr Milliseconds WithinRegionDelay{1};
 constexpr Milliseconds BetweenRegionsDelay{8};
-/// Interval at which the simulated watch checks for changes. The watch of a real available store reports them at once.
+/// Interval at which the simulated watch checks for changes. A real store reports them at once while it is available.
 constexpr Milliseconds WatchInterval{20};
 constexpr Milliseconds FirstRetryDelay{60};
 constexpr Milliseconds PlanInterval{100};
--- a/tests/instances/catalogfleet.h
+++ b/tests/instances/catalogfleet.h
@@ -61,7 +61,7 @@
 
     void step(int number);
     void ask(int asker, const SourceQuery &query);
-    /// The queried node answers when it has an update or when its time is over.
+    /// The queried node answers when it has an update, at the latest at @p end.
     void answerWhenUpdated(int asker, int source, SourceQuery query, std::uint64_t askerRevision, TimePoint end);
     void applyReading(int number);
     void readStore(int number, std::uint64_t round);
--- a/tests/instances/instancedirectorytest.cpp
+++ b/tests/instances/instancedirectorytest.cpp
@@ -115,8 +115,8 @@
 
 // Guards against requests to an upstream that has left. One node's link to the store is cut while the store runs on,
 // and an upstream leaves. After the cut, the node must not hold the upstream for two seconds as if its record had
-// expired, because an upstream that left stops answering earlier.
-TEST_CASE("after a cut of only the own link, records that the store no longer lists are dropped at once")
+// expired, because an upstream that left stops answering sooner.
+TEST_CASE("after a cut of only the node's own link, records that the store no longer lists are dropped at once")
 {
     InstanceDirectory directory;
     REQUIRE(directory.applySnapshot(snapshotOf(5, {recordOf("1", 1), recordOf("2", 2)}), at(0)));
--- a/tests/quarantine/requestfingerprinttest.cpp
+++ b/tests/quarantine/requestfingerprinttest.cpp
@@ -14,7 +14,7 @@
     CHECK(fingerprintOf({"POST", "h", "/pay/1", body}) == fingerprintOf({"POST", "h", "/pay/1", body}));
 }
 
-// Guards against a request that gets the fingerprint of another one by moving bytes from one field to the next.
+// Guards against two requests that share a fingerprint because they differ only in where one field ends.
 TEST_CASE("requests that differ in any field have different fingerprints")
 {
     const std::set<RequestFingerprint> all{
--- a/tests/replay/replaytest.cpp
+++ b/tests/replay/replaytest.cpp
@@ -108,8 +108,8 @@
     CHECK(burstResult().worth() > meanOf(burst(), without).worth() + 0.03);
 }
 
-// With all slots of an upstream in use, each request takes 1.7 times as long as with one slot fewer. An upstream that
-// gets as many requests as it has slots therefore finishes fewer.
+// With more than four fifths of an upstream's slots in use, each request takes 1.7 times as long. An upstream that gets
+// as many requests as it has slots therefore finishes fewer than one that gets somewhat fewer requests.
 TEST_CASE("upstreams that are kept below the fill at which they become slower finish more requests")
 {
     ReplaySettings allSlots;
--- a/tests/routing/placementtest.cpp
+++ b/tests/routing/placementtest.cpp
@@ -98,7 +98,7 @@
 }
 
 // Guards against large bodies on paid links. A scanned ledger of 60 KB that is sent to another region to save some tens
-// of milliseconds costs more there than its answer in time is worth.
+// of milliseconds costs more there than an answer in time is worth.
 TEST_CASE("a large body stays in its region unless no upstream there can be reached")
 {
     Fixture fixture;
@@ -112,7 +112,7 @@
 }
 
 // Guards against ignoring the prices of links. Both upstreams of the region are in a slow period. A report of 12 KB
-// that would be late there costs more on the paid link than it is worth. A lookup of some hundred bytes, on which
+// that would be late there costs more on the paid link than it is worth. A lookup of some hundred bytes, for which
 // another request waits, does not.
 TEST_CASE("the configured price of a KiB decides which requests cross regions")
 {
@@ -151,7 +151,7 @@
     CHECK(fixture.nameOf(fixture.choose()) == "near");
 }
 
-TEST_CASE("failures keep requests away, and their weight decays")
+TEST_CASE("requests avoid an upstream that failed, and the weight of its failures decays")
 {
     Fixture fixture;
     fixture.report("near", 1.0);
--- a/tests/sidecar/catalogtest.cpp
+++ b/tests/sidecar/catalogtest.cpp
@@ -25,7 +25,7 @@
 }
 
 // Guards against a node that stays without routes: the store refuses one VM, and the node there is restarted meanwhile.
-// The other nodes have routes and list.
+// The other nodes have the routes and the list.
 TEST_CASE("a node that starts without the store gets routes and upstreams from its seeds")
 {
     Deployment deployment;
@@ -104,7 +104,7 @@
         const std::size_t reader = deployment.catalog.isReading(0) ? 0 : 1;
         TestNode &follower = reader == 0 ? deployment.second : deployment.first;
         deployment.catalog.stopUpdatesTo(reader);
-        deployment.catalog.lose(reader);
+        deployment.catalog.reportLost(reader);
         checkHappened(co_await deployment.waitUntil([&] { return deployment.catalog.readerCount() == 2; }));
         deployment.catalog.publishRoutes(20);
         checkStatus(co_await deployment.send(follower.callers, "GET", "/v20/1", "after"), 200);
@@ -140,8 +140,8 @@
 
 // Guards against refusals for overload after a third of the VMs is cut off from the store. After some seconds their
 // upstreams disappear from the list, though they are alive, and all nodes send to the upstreams that are left. Cut-off
-// nodes that read the store notice and go on using the expired upstreams; a cut-off node that follows a node outside
-// must check its own access to the store.
+// nodes that read the store notice the cut and go on using the expired upstreams; a cut-off node that follows a node
+// that is not cut off must check its own access to the store.
 TEST_CASE("a follower that is cut off from the store itself does not drop upstreams whose leases expire")
 {
     Deployment deployment;
@@ -187,7 +187,7 @@
 
 // Guards against large routes that take longer to transfer than the timeout of the followers that wait for them, so
 // that they are sent again and again.
-TEST_CASE("changes of many routes reach followers over links of little bandwidth, and followers keep their source")
+TEST_CASE("changes of many routes reach followers over low-bandwidth links, and followers keep their source")
 {
     constexpr std::size_t ManyRoutes = 1400;
     // One node's share of 10 Mbit/s while its source serves two more nodes.
@@ -215,7 +215,8 @@
     });
 }
 
-// Guards against a fleet in which every node calls a store that is unavailable, or which misses the store's return.
+// Guards against a fleet in which every node calls an unavailable store, or in which nodes do not notice that the store
+// is back.
 TEST_CASE("while the store is unavailable, nodes keep their sources, and get its updates when it is back")
 {
     constexpr int Nodes = 8;
--- a/tests/sidecar/crashingrequesttest.cpp
+++ b/tests/sidecar/crashingrequesttest.cpp
@@ -135,7 +135,7 @@
 }
 
 // Guards against refusing unrelated requests because the upstream that held them was crashed by another request.
-TEST_CASE("unrelated requests that a crashed upstream held are answered elsewhere, and when they are sent again")
+TEST_CASE("unrelated requests that a crashed upstream held are answered elsewhere, and again when they are sent again")
 {
     CrashingService service;
     service.setRunDuration(Milliseconds(25));
--- a/tests/sidecar/deployment.h
+++ b/tests/sidecar/deployment.h
@@ -26,7 +26,7 @@
     CHECK(happened);
 }
 
-/// Two upstreams of one service with their nodes, and with routes and list published.
+/// Two upstreams of one service with their nodes, and with the routes and the list published.
 struct Deployment : SidecarFixture
 {
     Deployment()
--- a/tests/sidecar/fakecatalog.cpp
+++ b/tests/sidecar/fakecatalog.cpp
@@ -171,17 +171,17 @@
     allSinks_.at(node)->onRoutesRead({Platform::routesFromJson(routesText()).value(), routesText()});
 }
 
-void FakeCatalog::lose()
+void FakeCatalog::reportLost()
 {
     notifyReaders([](CatalogSink &sink) { sink.onSourceLost("the test says so"); });
 }
 
-void FakeCatalog::lose(std::size_t node)
+void FakeCatalog::reportLost(std::size_t node)
 {
     allSinks_.at(node)->onSourceLost("the test says so");
 }
 
-void FakeCatalog::restore()
+void FakeCatalog::reportRestored()
 {
     notifyReaders([](CatalogSink &sink) { sink.onSourceRestored(); });
 }
@@ -190,10 +190,10 @@
 {
     isUnavailable_ = isUnavailable;
     if (isUnavailable) {
-        lose();
+        reportLost();
         return;
     }
-    restore();
+    reportRestored();
     publishRoutes(version_);
     publishList();
 }
--- a/tests/sidecar/fakecatalog.h
+++ b/tests/sidecar/fakecatalog.h
@@ -29,11 +29,12 @@
     /// Like drain(), but only the node with number @p node is notified.
     void announceDrainOnlyTo(std::size_t node, const std::string &id);
     /// Reports to all readers that the store can't be read.
-    void lose();
-    /// Like lose(), but only for the node with number @p node. Nodes are numbered from 0 in the order of makeSource().
-    void lose(std::size_t node);
+    void reportLost();
+    /// Like reportLost(), but only for the node with number @p node. Nodes are numbered from 0 in the order of
+    /// makeSource().
+    void reportLost(std::size_t node);
     /// Reports to all readers that the store answers again.
-    void restore();
+    void reportRestored();
     /// Makes the store unavailable for all nodes, or available again.
     void setUnavailable(bool isUnavailable);
     /// The catalog source of a new node.
--- a/tests/sidecar/fakeupstream.cpp
+++ b/tests/sidecar/fakeupstream.cpp
@@ -112,7 +112,7 @@
         exchange.abort();
         co_return;
     }
-    if (!omitsSignature) {
+    if (!omitsDigest) {
         head.headers.add("X-Egretpath-Server-Signature", "3e1b." + request);
     }
     (void)co_await exchange.respond(head,
--- a/tests/sidecar/fakeupstream.h
+++ b/tests/sidecar/fakeupstream.h
@@ -43,8 +43,8 @@
     std::string crashesOn;
     /// The time from such a crash until the upstream listens again.
     Milliseconds restartTime{100};
-    /// Answers lack the signature that proves that they are the upstream's.
-    bool omitsSignature = false;
+    /// Answers lack the digest that proves that they are the upstream's.
+    bool omitsDigest = false;
     /// The slowdown that the upstream reports, in percent of the baseline.
     std::uint16_t slowdown = 100;
 
--- a/tests/sidecar/sidecarfixture.cpp
+++ b/tests/sidecar/sidecarfixture.cpp
@@ -25,8 +25,8 @@
 /// Returns an address that no other process uses.
 ///
 /// Guards against a port that is taken between its choice and its use: one of the connections that the tests open all
-/// the time could take a free port that the system chose. Those connections start from 127.0.0.1, and none of these
-/// addresses is there.
+/// the time could take a free port that the system chose. Those connections start from 127.0.0.1, which this function
+/// never returns.
 Endpoint uniqueEndpoint()
 {
     constexpr int FirstPort = 21'000;
@@ -114,7 +114,7 @@
     });
     const TimePoint deadline = std::chrono::steady_clock::now() + ScenarioTimeout;
     while (!hasEnded && std::chrono::steady_clock::now() < deadline) {
-        // A node that has stopped stops the event loop as well. It is restarted, so that the scenario goes on.
+        // A node that has stopped stops the event loop as well. The loop is restarted, so that the scenario goes on.
         eventLoop_.context().restart();
         eventLoop_.context().run_until(deadline);
     }
--- a/tests/sidecar/sidecartest.cpp
+++ b/tests/sidecar/sidecartest.cpp
@@ -33,9 +33,9 @@
     CHECK(std::stoi(used.lastHeader("X-Egretpath-Deadline-Ms")) > 500);
 }
 
-// Guards against an upload that crashes its node: an upload is sent to another node only after that node has said that
-// it would accept the upload.
-TEST_CASE("uploads go to another node that said it would accept them")
+// Guards against a node that crashes on an upload. A large upload is sent to another node only after that node has
+// accepted it in a dry run.
+TEST_CASE("uploads go to another node that accepted them in a dry run")
 {
     constexpr int Uploads = 6;
     constexpr std::size_t LargeBody = std::size_t{40} * 1024;
@@ -132,7 +132,7 @@
     });
 }
 
-TEST_CASE("a request that an upstream refused before it ran goes to another upstream, also a payment")
+TEST_CASE("a request that an upstream refused before it ran goes to another upstream, even if it is a payment")
 {
     Deployment deployment;
     deployment.one.status = 503;
@@ -150,11 +150,11 @@
 
 // Guards against passing on a success that is not the upstream's: another program answers at the upstream's address, or
 // a proxy in between does.
-TEST_CASE("a success without the upstream's signature does not reach a caller as a success")
+TEST_CASE("a success without the upstream's digest does not reach a caller as a success")
 {
     Deployment deployment;
-    deployment.one.omitsSignature = true;
-    deployment.two.omitsSignature = true;
+    deployment.one.omitsDigest = true;
+    deployment.two.omitsDigest = true;
     deployment.run([&]() -> asio::awaitable<void> {
         checkStatus(co_await deployment.send(deployment.first.callers, "POST", "/pay/1", "p"), 502);
     });
@@ -180,7 +180,7 @@
 
 // Guards against work for callers that have disconnected: a caller disconnects after 50 ms, the upstream goes on with
 // its request, and callers that still wait can't use the slot.
-TEST_CASE("when a caller disconnects, its request is cancelled at the upstream, also behind another node")
+TEST_CASE("when a caller disconnects, its request is cancelled at the upstream, even if another node passed it on")
 {
     Deployment deployment;
     deployment.one.runDuration = Milliseconds(600);
@@ -266,7 +266,7 @@
 
 // Guards against passing on a request that may take longer than the rest of the grace time. Two requests come while
 // their node stops; if both are passed on, the longer one loses its caller's connection though its upstream answers.
-TEST_CASE("a node that stops refuses requests that may outlast it and answers the others")
+TEST_CASE("a node that stops refuses requests that may outlive it and answers the others")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
@@ -389,7 +389,8 @@
 
 // Guards against leaving a payment's caller without an answer until its timeout, though the outcome can't be known any
 // more.
-TEST_CASE("a payment that its upstream has lost ends as unknown as soon as the loss is noticed, and is not sent again")
+TEST_CASE(
+    "a payment that its upstream has lost ends as may-have-run as soon as the loss is noticed, and is not sent again")
 {
     Deployment deployment;
     deployment.run([&]() -> asio::awaitable<void> {
--- a/tests/telemetry/streamappendertest.cpp
+++ b/tests/telemetry/streamappendertest.cpp
@@ -88,7 +88,7 @@
     CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(20));
     CHECK(log.appender->dropped() > 0);
 
-    // The reader reads again: the buffered lines come first in their order, then the count of lost lines.
+    // The reader reads again: the buffered lines come first in their order, then the count of dropped lines.
     const std::string first = pipe.readAll();
     CHECK(first.starts_with("0 x"));
     LOG4CXX_INFO(log.logger, "after");
