--- a/bench/ablation/trialnode.cpp
+++ b/bench/ablation/trialnode.cpp
@@ -1,4 +1,4 @@
-// A node whose decisions lack one mechanism, for experiments only.
+// A node that makes its decisions with one mechanism switched off, for experiments only.
 
 #include <iostream>
 #include <string>
@@ -34,7 +34,7 @@
 int main(int argc, char **argv)
 {
     DecisionSettings decisions;
-    CLI::App app{"A node of egretpath whose decisions lack one of their mechanisms."};
+    CLI::App app{"A node of egretpath that makes its decisions with one mechanism switched off."};
     app.add_option_function<std::string>(
         "--without", [&decisions](const std::string &name) { switchOff(name, decisions); },
         "the name of the mechanism to switch off");
--- a/bench/replay/main.cpp
+++ b/bench/replay/main.cpp
@@ -23,8 +23,8 @@
     double burst;
 };
 
-/// The rates are about .5, .5 with 5 s of twice that, and 1.1 of the capacity of the six upstreams, whose VMs are slow
-/// at times.
+/// In shares of the capacity of the six upstreams, whose VMs are slow at times, the rates are about .5, .5 with 5 s of
+/// twice that, and 1.1.
 constexpr NamedLoad Loads[] = {{"calm", 110, 1.0}, {"burst", 110, 2.0}, {"overload", 240, 1.0}};
 
 /// Returns minimum, median and maximum over the seeds.
--- a/bench/replay/replay.cpp
+++ b/bench/replay/replay.cpp
@@ -34,7 +34,7 @@
 constexpr Milliseconds SlowdownWatchInterval{20};
 constexpr double LateWorth = 0.1;
 /// Under the plain rules, the maximum length of an upstream's own queue for each of its slots.
-constexpr std::uint32_t QueuedPerSlot = 2;
+constexpr std::uint32_t MaxQueuedPerSlot = 2;
 constexpr Milliseconds PlainRetryAfter{200};
 /// Callers retry within a third of the time that they have left.
 constexpr int RetryDivisor = 3;
@@ -403,7 +403,7 @@
         Upstream &upstream = *upstreams_[number];
         if (upstream.running.size() < load_.slots) {
             startPlain(number, request);
-        } else if (upstream.plainQueue.size() < std::size_t{QueuedPerSlot} * load_.slots) {
+        } else if (upstream.plainQueue.size() < std::size_t{MaxQueuedPerSlot} * load_.slots) {
             upstream.plainQueue.push_back(request);
         } else {
             reply(request, number, [this, request, number] { onRefused(request, number, PlainRetryAfter); });
--- a/bench/replay/replay.h
+++ b/bench/replay/replay.h
@@ -56,7 +56,7 @@
 struct ReplaySettings
 {
     ReplayRule rule = ReplayRule::Egretpath;
-    /// Only the settings of placement, view, queue, queries and the spread of retries have an effect.
+    /// Only the settings of placement, view, queue, declining and the spread of retries have an effect.
     DecisionSettings decisions;
     std::uint64_t seed = 1;
 };
@@ -69,7 +69,7 @@
     double refused = 0.0;
     /// Requests that were cut at the deadline.
     double failed = 0.0;
-    /// Queries and sendings per request.
+    /// How many times a request was sent to an upstream, on average.
     double sendings = 0.0;
     /// The share of answers in target time plus a tenth of the share of late answers.
     [[nodiscard]] double worth() const;
--- a/src/client/tracecommand.cpp
+++ b/src/client/tracecommand.cpp
@@ -25,7 +25,7 @@
 /// Each line starts with a timestamp such as "2026-12-03T03:22:46.841Z", whose order as text is the order of times.
 constexpr std::size_t TimestampLength = 24;
 
-/// The maximum of state lines that are shown before the first line of the request, for each log.
+/// Maximum number of state lines of each log that are shown before the first line of the request.
 constexpr std::size_t MaxStateLinesBefore = 3;
 
 struct TracedLine
@@ -77,7 +77,8 @@
         app.add_subcommand("trace", "Shows the lines of one request in many nodes' logs, ordered by time");
     command->add_option("request", request_, "the request's id, as its caller sent it, or its fingerprint")->required();
     command->add_option("logs", logs_, "the nodes' logs, one file each")->required();
-    command->add_flag("--around", around_, "also the last changes that each involved node logged before the request");
+    command->add_flag("--around", around_,
+                      "also show the state changes that each involved node logged before and between these lines");
     return command;
 }
 
--- a/src/daemons/egretpath-sidecar.cpp
+++ b/src/daemons/egretpath-sidecar.cpp
@@ -4,7 +4,8 @@
 
 int main(int argc, char **argv)
 {
-    CLI::App app{"Egretpath beside an upstream on the platform: accepts requests, chooses upstreams, and admits "
-                 "requests to its own."};
+    CLI::App app{
+        "The egretpath node beside an upstream: accepts requests from its VM, chooses an upstream for each, and "
+        "admits requests to its own upstream."};
     return Egretpath::runSidecarProgram(app, argc, argv, Egretpath::DecisionSettings());
 }
--- a/src/http/httpserverconnection.cpp
+++ b/src/http/httpserverconnection.cpp
@@ -206,8 +206,9 @@
     completionSignal_.cancel();
 }
 
-/// Stops reading and tells the remaining exchanges that the caller disconnected. Either the caller has disconnected, or
-/// the connection closes after a response and the caller treats the requests after it as not read.
+/// Stops reading and reports to the remaining exchanges that the caller disconnected. Called when the caller has
+/// disconnected, or when the connection closes after a response. In the second case the caller treats its later
+/// requests as not read.
 void HttpServerConnection::stopReading()
 {
     isReading_ = false;
@@ -260,7 +261,7 @@
     (void)co_await write(text.value_or(std::string()) + detail, written);
 }
 
-/// Closes the connection in a way that lets the written bytes still arrive.
+/// Closes the connection so that the bytes already written still arrive.
 asio::awaitable<void> HttpServerConnection::closeGracefully()
 {
     error_code ignored;
--- a/src/telemetry/streamappender.cpp
+++ b/src/telemetry/streamappender.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 
-/// The maximum of lines that are buffered while the stream is full: some seconds of a node's log. At 300 bytes a line
-/// they take about 60 KB.
+/// Maximum number of lines that are buffered while the stream is full: some seconds of a node's log. At 300 bytes a
+/// line they take about 60 KB.
 constexpr std::size_t MaxBufferedLines = 200;
 /// A pipe that is ready for writing takes a line of this size as one piece and without blocking. A longer line could
 /// still block.
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -196,8 +196,8 @@
     conditions.delay = fault.kind == FaultKind::LinkDelay ? Duration(LinkDelay) : Duration{0};
     conditions.holdRequests = fault.kind == FaultKind::LinkOneWay;
     conditions.partitioned = fault.kind == FaultKind::LinkCut;
-    // Requests of other nodes to this node's upstream pass over the same link, so the fault counts as a fault of
-    // category Upstream of all nodes.
+    // Requests of other nodes to this node's upstream pass over the same link, so the fault is also recorded for all
+    // nodes, in category Upstream.
     faultHistory_.begin(AllNodes, FaultCategory::Upstream, currentTime());
     member.peerLink->setConditions(conditions);
     co_await sleepFor(fault.length);
--- a/tests/soak/promisechecker.cpp
+++ b/tests/soak/promisechecker.cpp
@@ -20,7 +20,7 @@
 constexpr Milliseconds DisconnectBound{500};
 /// A deadline that an upstream gets may exceed the time that the caller has left by this much.
 constexpr Milliseconds MaxDeadlineExcess{500};
-/// Findings of one kind that are tolerated, where a promise allows a few exceptions.
+/// Number of findings of one kind that are tolerated, where a promise allows a few exceptions.
 constexpr std::size_t MaxToleratedFindings = 3;
 /// When this time has passed since a node used a version of the routes, the node must not use an older version any
 /// more.
@@ -366,8 +366,8 @@
     checkDisconnected(attempt);
 }
 
-/// A node must answer each request that ran at an upstream, even during a planned stop, unless an unplanned fault of
-/// the node or a fault of category Upstream hit the node meanwhile.
+/// A node must answer each request that ran at an upstream, even during a planned stop, unless a fault of category
+/// Unplanned or Upstream hit the node meanwhile.
 void PromiseChecker::checkCutOff(const Attempt &attempt)
 {
     const AttemptResult &result = *attempt.result;
--- a/tests/soak/routepublisher.cpp
+++ b/tests/soak/routepublisher.cpp
@@ -144,8 +144,8 @@
 void RoutePublisher::publishNext()
 {
     ++publishedCount_;
-    constexpr std::uint64_t LargestStep = 7;
-    version_ += 1 + random_() % LargestStep;
+    constexpr std::uint64_t MaxStep = 7;
+    version_ += 1 + random_() % MaxStep;
     const std::vector<CallerRoute> routes = currentRoutes();
     PublishedVersions::Version version{version_, currentTime(), {}};
     for (const CallerRoute &route : routes) {
--- a/tests/soak/soakcallers.cpp
+++ b/tests/soak/soakcallers.cpp
@@ -225,7 +225,7 @@
         }
     }
     result.isUnsent = !call.isFirstByteSent();
-    // A caller whose time is over closes the connection, as a caller that disconnects early does.
+    // A caller that times out closes the connection, like a caller that disconnects early.
     if (!result.callerDisconnected && result.status == 0 && currentTime() >= sent.at + sent.callerTimeout) {
         result.callerDisconnected = true;
         result.disconnectedAt = currentTime();
--- a/tests/soak/soakcallers.h
+++ b/tests/soak/soakcallers.h
@@ -39,8 +39,8 @@
     boost::asio::awaitable<void> sendCrashing(Milliseconds length);
     [[nodiscard]] StandinUpstream::InnerCall innerCalls(NodeNumber node);
 
-    /// Attempts since the last takeTally(), and how many of them succeeded. Used to measure the recovery after the
-    /// faults.
+    /// Attempts since the last takeTally(), without those of crashing requests, and how many of them succeeded. Used to
+    /// measure the recovery after the faults.
     struct Tally
     {
         std::uint64_t attempts = 0;
--- a/tests/soak/soakdeployment.cpp
+++ b/tests/soak/soakdeployment.cpp
@@ -34,7 +34,7 @@
 constexpr const char *UpstreamPort = ":8301";
 constexpr const char *StorePort = ":8309";
 
-/// Groups of addresses in the deployment's network; the third part of an address.
+/// Groups of addresses in the deployment's network. The group's number is the third part of an address.
 enum AddressGroup : unsigned {
     StoreGroup,
     NodeGroup,
--- a/tests/standins/relaydirection.h
+++ b/tests/standins/relaydirection.h
@@ -62,6 +62,7 @@
     bool towardsServer_;
     std::deque<Chunk> chunks_;
     std::size_t bufferedBytes_ = 0;
+    /// Cancelled when the chunks, the conditions or the sockets change. Expires when the next chunk is due.
     boost::asio::steady_timer changed_;
 };
 
--- a/tests/standins/standinupstream.cpp
+++ b/tests/standins/standinupstream.cpp
@@ -92,7 +92,7 @@
         slotFreed_.cancel();
     }
 
-    void drain() { draining_ = true; }
+    void drain() { isDraining_ = true; }
     [[nodiscard]] const StandinUpstreamOptions &options() const { return options_; }
     [[nodiscard]] UpstreamFaults &faults() { return faults_; }
 
@@ -122,7 +122,7 @@
     {
         const auto self = shared_from_this();
         if (exchange.head().target == "/health") {
-            HttpResponseHead head = answerHead(draining_ ? UnavailableStatus : OkStatus, RequestId());
+            HttpResponseHead head = answerHead(isDraining_ ? UnavailableStatus : OkStatus, RequestId());
             (void)co_await exchange.respond(std::move(head), std::string());
             co_return;
         }
@@ -306,7 +306,7 @@
     std::uint32_t running_ = 0;
     std::uint32_t waiting_ = 0;
     double slowdown_ = 1.0;
-    bool draining_ = false;
+    bool isDraining_ = false;
     bool hasExited_ = false;
     /// Never expires. Cancelled when a slot becomes free, a caller disconnects or the upstream exits.
     asio::steady_timer slotFreed_;
