--- a/bench/ablation/ablation.cpp
+++ b/bench/ablation/ablation.cpp
@@ -39,11 +39,11 @@
               }},
     Mechanism{"dependents", "callers with short timeouts go first, since a late answer is useless to them",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.dependentTimeoutFactor = 0; }},
-    Mechanism{"delay", "the network delay to a node counts",
+    Mechanism{"delay", "the network delay to a node counts against its upstream",
               [](DecisionSettings &decisions) { decisions.ingress.view.countsDelay = false; }},
     Mechanism{"ask-before-bodies", "large bodies are sent only after a dry run was accepted",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.maxBodyWithoutDryRun = SIZE_MAX; }},
-    Mechanism{"typical-load", "upstreams without a load report count as typical",
+    Mechanism{"typical-load", "upstreams without a load report count as having a typical load",
               [](DecisionSettings &decisions) { decisions.ingress.view.assumesTypical = false; }},
     Mechanism{"shut-unreachable", "upstreams whose nodes can't be reached get no requests for a while",
               [](DecisionSettings &decisions) { decisions.ingress.view.baseUnreachableHold = Duration{0}; }},
@@ -51,7 +51,7 @@
               [](DecisionSettings &decisions) { decisions.ingress.ingress.usedRetryShare = 1.0; }},
     Mechanism{"return-spread", "callers that were refused together retry at different times",
               [](DecisionSettings &decisions) { decisions.ingress.ingress.retryAfterSpread = 0.0; }},
-    Mechanism{"late-backlog", "only few requests that can't be in time may wait",
+    Mechanism{"late-backlog", "only a few requests that can't be answered in time may wait",
               [](DecisionSettings &decisions) {
                   decisions.queue.maxLateBacklog = Unlimited;
                   decisions.queue.maxLateWait = Unlimited;
@@ -68,7 +68,7 @@
               "requests that were running when the same upstream disconnected are not run together again",
               [](DecisionSettings &decisions) { decisions.queue.separatesCoSuspects = false; }},
     Mechanism{"upstream-account",
-              "requests that an upstream has lost are ended, and its requests from elsewhere take slots",
+              "requests that an upstream has lost are finished, and its requests that no call waits for occupy slots",
               [](DecisionSettings &decisions) { decisions.keepsUpstreamAccount = false; }},
 };
 
