--- a/src/client/waitcommand.cpp
+++ b/src/client/waitcommand.cpp
@@ -65,8 +65,8 @@
         });
         if (allActive) {
             const auto took = std::chrono::duration_cast<Milliseconds>(now - start);
-            output.out << "version " << version << " is active at " << nodes->size() << " nodes after " << took.count()
-                       << " ms\n";
+            output.out << "version " << version << " is in force at " << nodes->size() << " nodes after "
+                       << took.count() << " ms\n";
             return ExitCode::Success;
         }
         if (now >= deadline) {
