--- a/bench/replay/main.cpp
+++ b/bench/replay/main.cpp
@@ -23,8 +23,9 @@
     double burst;
 };
 
-/// In shares of the capacity of the six upstreams, whose VMs are slow at times, the rates are about .5, .5 with 5 s of
-/// twice that, and 1.1.
+/// The capacity is that of the six upstreams, whose VMs are slow at times. The rate of calm is about .5 of the
+/// capacity. The rate of burst is about .5 of the capacity, with 5 s of twice that rate. The rate of overload is about
+/// 1.1 of the capacity.
 constexpr NamedLoad Loads[] = {{"calm", 110, 1.0}, {"burst", 110, 2.0}, {"overload", 240, 1.0}};
 
 /// Returns minimum, median and maximum over the seeds.
--- a/src/core/identity.h
+++ b/src/core/identity.h
@@ -39,7 +39,8 @@
     std::uint32_t serviceTimeMicroseconds = 0;
     /// Whether the node is stopping and refuses new requests for the upstream.
     bool draining = false;
-    /// The time that work takes on the VM now, in percent of the baseline; zero if unknown.
+    /// The time that work takes at the upstream now, in percent of the baseline: the VM's slowdown multiplied by the
+    /// upstream's own slowdown; zero if unknown.
     std::uint16_t slowdownPercent = 0;
     /// The expected time until the VM's slow period ends, in microseconds, if requests wait for that end here; else
     /// zero.
--- a/src/idempotency/callstate.h
+++ b/src/idempotency/callstate.h
@@ -70,16 +70,16 @@
     /// Returns whether the try may be sent. Call this immediately before the first byte is written, without waiting in
     /// between. After true the try counts as sent; after false nothing may be written.
     [[nodiscard]] bool permitSending(TryNumber number, TimePoint now);
-    /// Records that a try ended without an answer. A try that was not sent is not run. A try that was sent is not run
-    /// only if the egress said so in @p failure; the ingress itself reports broken connections and silence as
-    /// may-have-run.
+    /// Records that a try ended without an answer. A try that was not sent counts as not run. A try that was sent
+    /// counts as not run only if the egress said so in @p failure; the ingress itself reports broken connections and
+    /// silence as may-have-run.
     [[nodiscard]] NextStep onTryFailed(TryNumber number, const Failure &failure);
     /// Records that the complete answer to a try has arrived. Returns whether to give the answer to the caller; that is
     /// true at most once.
     [[nodiscard]] bool acceptAnswer(TryNumber number);
     /// Ends the call. Returns the failure to give to the caller, with the verdict that the tries prove, or nothing if
-    /// the call had ended before. A call with a key is not run only if the owner of the key says so, because another
-    /// call may have run under the key.
+    /// the call had ended before. A call with a key counts as not run only if the owner of the key says so, because
+    /// another call may have run under the key.
     [[nodiscard]] std::optional<Failure> giveUp(Reason reason, Milliseconds retryAfter = Milliseconds{0},
                                                 std::string detail = {});
 
--- a/src/instances/catalogplan.h
+++ b/src/instances/catalogplan.h
@@ -105,8 +105,8 @@
     }
     /// When the reader that this node gets its updates from last read the store.
     [[nodiscard]] TimePoint lastStoreReadAt() const { return lastStoreReadAt_; }
-    /// The last time at which a node is known to have read the store. Records that expired without any node noticing
-    /// expired after this time.
+    /// The last time at which a node is known to have read the store. If a record expired and no node noticed it, the
+    /// record expired after this time.
     [[nodiscard]] TimePoint lastStoreAvailable() const { return lastStoreAvailable_; }
     /// When this node's own calls to the store began to fail; nothing while they succeed.
     [[nodiscard]] const std::optional<TimePoint> &ownReadsFailingSince() const { return ownReadsFailingSince_; }
--- a/src/instances/readerelection.h
+++ b/src/instances/readerelection.h
@@ -14,8 +14,9 @@
 /// Constants of ReaderElection.
 struct ReaderElectionSettings
 {
-    /// Nodes of a region for each reader. 22,000 nodes in 7 regions have 350 readers. With one change in 3.5 s, their
-    /// watches stay under a fifth of the store's 2,000 reads per second.
+    /// Number of nodes of a region per reader. The number of readers is rounded up in each region, so 22,000 nodes in 7
+    /// regions have 350 readers. With one change in 3.5 s, their watches stay under a fifth of the store's 2,000 reads
+    /// per second.
     std::size_t nodesPerReader = 64;
     /// Followers of each node. A query and its answer take 320 bytes. Three followers' queries and the node's own query
     /// every .7 s are 1.8 KB/s, under the 3 KB/s that a node may spend. An update takes four steps from the store to
--- a/src/rpc/peer.capnp
+++ b/src/rpc/peer.capnp
@@ -23,7 +23,8 @@
   leaving @4 :Bool;
   # The node is stopping and refuses new requests for the upstream.
   pacePercent @5 :UInt16;
-  # The VM's slowdown: how long work takes on it now, in percent of the baseline. 100 is normal, 0 is unknown.
+  # The time that work takes at the upstream now, in percent of the baseline: the VM's slowdown multiplied by the
+  # upstream's own slowdown. 100 is normal, 0 is unknown.
   meanService @6 :UInt32;
   # Smoothed service time of calls of all routes, at the VM's baseline speed. 0 is unknown.
   failurePercent @7 :UInt8;
@@ -94,7 +95,7 @@
     failure @3 :Failure;
     answer @4 :Answer;
     streamed @5 :Void;
-    # The whole answer was sent through the AnswerSink.
+    # The complete answer was sent through the AnswerSink.
   }
   quarantine @6 :UInt64;
   # Identifies the set of requests that the node refuses because they crash upstreams; zero: none.
@@ -138,7 +139,7 @@
   revision @2 :UInt64;
   # Revision of the sender's list; zero: it has no list.
   whole @3 :Bool;
-  # Whether the instances are the whole list. Otherwise they are the changes after the requesting node's revision.
+  # Whether the instances are the complete list. Otherwise they are the changes after the requesting node's revision.
   instances @4 :List(InstanceRecord);
   gone @5 :List(GoneInstance);
   inOrder @6 :Bool;
--- a/src/rpc/peermessages.h
+++ b/src/rpc/peermessages.h
@@ -73,14 +73,14 @@
     HttpHeaders headers;
 };
 
-/// A whole answer that was sent in one message.
+/// A complete answer that was sent in one message.
 struct CompleteAnswer
 {
     AnswerHead head;
     std::string body;
 };
 
-/// Says that the whole answer was sent to the AnswerReceiver.
+/// Says that the complete answer was sent to the AnswerReceiver.
 struct StreamedAnswer
 {
 };
@@ -114,7 +114,7 @@
     CatalogVersions versions;
     /// As the platform published them; empty if the requesting node has them.
     PackedRoutes routes;
-    /// Whether the changes are the whole list. Otherwise they are the changes after the requesting node's revision.
+    /// Whether the changes are the complete list. Otherwise they are the changes after the requesting node's revision.
     bool isSnapshot = false;
     std::vector<InstanceChange> changes;
     /// The state of the platform's store as the sender knows it.
--- a/src/rpc/peerservice.h
+++ b/src/rpc/peerservice.h
@@ -23,7 +23,7 @@
     /// Receives the next piece of the body. Returns when the receiver can take more. Precondition: begin() returned
     /// true.
     virtual boost::asio::awaitable<bool> write(std::string chunk) = 0;
-    /// Called only after the whole answer was written.
+    /// Called only after the complete answer was written.
     virtual boost::asio::awaitable<bool> end() = 0;
 };
 
--- a/tests/instances/catalogplantest.cpp
+++ b/tests/instances/catalogplantest.cpp
@@ -69,7 +69,7 @@
     CHECK(fleet.upToDateNodeCount() == 295);
 }
 
-// Guards against a fleet in which every node calls an unavailable store, each node once in .3 s.
+// Guards against a fleet in which every node calls an unavailable store every .3 s.
 TEST_CASE("calls to a store that is away hardly grow with the fleet")
 {
     const std::uint64_t small = storeCallsDuringOutage(18);
--- a/tests/quarantine/quarantinefleettest.cpp
+++ b/tests/quarantine/quarantinefleettest.cpp
@@ -104,8 +104,8 @@
     }
 }
 
-// Guards against two halves of a fleet that are cut off from each other, and each half refuses the request only after a
-// report from the other half.
+// Guards against a fleet in which, while two halves are cut off from each other, each half refuses the request only
+// after a report from the other half. No such report arrives. The test cuts one of three regions off from the others.
 TEST_CASE("a region that is cut off refuses the request by itself")
 {
     FleetShape shape;
--- a/tests/soak/promisechecker.cpp
+++ b/tests/soak/promisechecker.cpp
@@ -22,8 +22,7 @@
 constexpr Milliseconds MaxDeadlineExcess{500};
 /// Number of findings of one kind that are tolerated, where a promise allows a few exceptions.
 constexpr std::size_t MaxToleratedFindings = 3;
-/// When this time has passed since a node used a version of the routes, the node must not use an older version any
-/// more.
+/// After a node was seen to use a version of the routes, the node may still use an older version for this long.
 constexpr Milliseconds RollbackSlack{250};
 constexpr std::size_t MaxShownViolations = 40;
 /// After CrashesBeforeQuarantine crashes by one request, and after the time PromiseBounds::quarantineGossip, the
@@ -280,18 +279,17 @@
     if (!result.echoedId.empty() && result.echoedId != attempt.sent.id.value()) {
         recordAttemptViolation("each caller its own answer", attempt, "got the answer to " + result.echoedId);
     }
-    if (result.signature.empty()) {
+    if (result.digest.empty()) {
         if (isSuccess(result.status)) {
             recordAttemptViolation("whole answers", attempt, "a success that no upstream made");
         }
         return;
     }
-    const auto made =
-        std::find_if(attempt.answers.begin(), attempt.answers.end(),
-                     [&result](const UpstreamAnswer &answer) { return answer.signature == result.signature; });
+    const auto made = std::find_if(attempt.answers.begin(), attempt.answers.end(),
+                                   [&result](const UpstreamAnswer &answer) { return answer.digest == result.digest; });
     if (made == attempt.answers.end()) {
         recordAttemptViolation("each caller its own answer", attempt,
-                               "signature " + result.signature + " is not of this request");
+                               "signature " + result.digest + " is not of this request");
     } else if (made->status != result.status || (isSuccess(result.status) && made->bodyDigest != result.bodyDigest)) {
         recordAttemptViolation("whole answers", attempt, "status or body changed on the way back");
     }
--- a/tests/soak/promisechecker.h
+++ b/tests/soak/promisechecker.h
@@ -47,7 +47,8 @@
 {
     /// Zero if the connection ended without a complete answer.
     std::uint16_t status = 0;
-    std::string signature;
+    /// The digest that proves that an upstream made the answer; empty if the answer carries none.
+    std::string digest;
     std::string echoedId;
     std::string bodyDigest;
     /// Whether no byte of the request was sent, or no connection was made.
--- a/tests/soak/promisecheckertest.cpp
+++ b/tests/soak/promisecheckertest.cpp
@@ -44,11 +44,11 @@
         checker.onRunFinished(attempt.id);
     }
 
-    void finishWith(std::uint16_t status, const std::string &signature = {}, const std::string &body = "b")
+    void finishWith(std::uint16_t status, const std::string &digest = {}, const std::string &body = "b")
     {
         AttemptResult result;
         result.status = status;
-        result.signature = signature;
+        result.digest = digest;
         result.bodyDigest = body;
         result.at = currentTime();
         checker.recordResult(attempt.id, result);
@@ -130,7 +130,7 @@
         checked.finishWith(200, "s1", "half of b");
         CHECK(checked.violates("whole answers"));
     }
-    SECTION("a success without the upstream's signature")
+    SECTION("a success without the upstream's digest")
     {
         checked.finishWith(200);
         CHECK(checked.violates("whole answers"));
--- a/tests/soak/soakcallers.cpp
+++ b/tests/soak/soakcallers.cpp
@@ -216,7 +216,7 @@
         const auto content = co_await call.readCompleteBody(MaxAnswer);
         if (content) {
             result.status = answer.value().status;
-            result.signature = headerValue(answer.value(), "X-Egretpath-Server-Signature");
+            result.digest = headerValue(answer.value(), "X-Egretpath-Server-Signature");
             result.echoedId = headerValue(answer.value(), "X-Egretpath-Attempt-Id");
             result.bodyDigest = toHex(digestOf(content.value()));
             const std::string seconds = headerValue(answer.value(), "Retry-After");
--- a/tests/standins/standinupstream.cpp
+++ b/tests/standins/standinupstream.cpp
@@ -249,10 +249,10 @@
         std::string content = standinAnswer(request.attempt.value(), request.bodyDigest, bytes);
         UpstreamAnswer sentAnswer{request.attempt, isFailure && status == OkStatus ? FailedStatus : status,
                                   options_.id.value() + "." + std::to_string(random_()), toHex(digestOf(content))};
-        const bool isUnsigned = drawBool(faults_.unsignedShare);
+        const bool omitsDigest = drawBool(faults_.unsignedShare);
         HttpResponseHead head = answerHead(sentAnswer.status, request.attempt);
-        if (!isUnsigned) {
-            head.headers.add("X-Egretpath-Server-Signature", sentAnswer.signature);
+        if (!omitsDigest) {
+            head.headers.add("X-Egretpath-Server-Signature", sentAnswer.digest);
             observer_.onAnswered(sentAnswer);
         }
         if (drawBool(faults_.lostAnswerShare)) {
--- a/tests/standins/standinupstream.h
+++ b/tests/standins/standinupstream.h
@@ -37,8 +37,9 @@
 {
     RequestId attempt;
     std::uint16_t status = 0;
-    /// Proves that this upstream made the answer; empty if the answer carries no proof.
-    std::string signature;
+    /// Proves that this upstream made the answer; empty if the answer carries no proof. The stand-in sends its id and a
+    /// random number in place of a digest of the answer.
+    std::string digest;
     std::string bodyDigest;
 };
 
@@ -67,7 +68,7 @@
     double lostAnswerShare = 0.0;
     /// Share of answers that are cut off in the middle.
     double truncatedShare = 0.0;
-    /// Share of answers without the signature that proves that this upstream made them.
+    /// Share of answers without the digest that proves that this upstream made them.
     double unsignedShare = 0.0;
     /// Whether all requests are refused as not run.
     bool isRefusing = false;
